--- a/sprucespool/cli/asking.py
+++ b/sprucespool/cli/asking.py
@@ -16,7 +16,7 @@
 from sprucespool.grpc.status import Limits, Status
 from sprucespool.settings.controller import address
 from sprucespool.transport.plan import PoolLimits
-from sprucespool.transport.pool import ENDS, Heard, Pool
+from sprucespool.transport.pool import FINAL_EVENTS, CallEvent, Pool
 from sprucespool.wire import platform_pb2 as platform
 
 LARGEST_ANSWER = 16 * 2**20
@@ -31,14 +31,14 @@
     """The decoded reply. `within` in ms. Raises ValueError on what is no address, Unreachable."""
     host, port = address(where)
     pool = Pool(host, port, Limits(message=LARGEST_ANSWER), PoolLimits(connections=1, connect_timeout=within), 1)
-    done: asyncio.Future[Heard] = asyncio.get_running_loop().create_future()
+    done: asyncio.Future[CallEvent] = asyncio.get_running_loop().create_future()
     got: list[bytes] = []
 
-    def heard(event: Heard):
+    def heard(event: CallEvent):
         if isinstance(event, Message):
             got.append(event.data)
             call.consumed(event.size)
-        elif isinstance(event, ENDS) and not done.done():
+        elif isinstance(event, FINAL_EVENTS) and not done.done():
             done.set_result(event)
 
     call = pool.call(path, {}, within, request.SerializeToString(), heard)
--- a/sprucespool/daemon/door.py
+++ b/sprucespool/daemon/door.py
@@ -23,8 +23,8 @@
 from sprucespool.settings.controller import ControllerPlan, ModelTable, address, deployment
 from sprucespool.transport.listener import Method, ServerCall, unary
 from sprucespool.transport.plan import PoolLimits
-from sprucespool.transport.pool import Heard, Pool, PoolCall, Unconnected
-from sprucespool.transport.turn import Turn
+from sprucespool.transport.pool import CallEvent, Pool, PoolCall, Unconnected
+from sprucespool.transport.input_batcher import InputBatcher
 from sprucespool.wire import inference_pb2 as oip
 from sprucespool.wire import names, outcomes
 from sprucespool.wire import platform_pb2 as platform
@@ -79,7 +79,7 @@
         self.loop = asyncio.get_running_loop()
         self.gateway = library(deployment(plan), plan.seed, self._effect, decider)
         self.taker: Gateway | Recorder = Recorder(self.gateway, record) if record else self.gateway
-        self.turn = Turn(self.taker.take, self._after)
+        self.turn = InputBatcher(self.taker.take, self._after)
         self.models = ModelTable(plan.models)
         self.clients: dict[str, _Client] = {}
         self.out: dict[int, _Out] = {}
@@ -113,8 +113,8 @@
             idle_close=far.idle_close,
             keepalive=far.keepalive,
             keepalive_timeout=far.keepalive_timeout,
-            first_backoff=far.first_backoff,
-            last_backoff=far.last_backoff,
+            initial_backoff=far.first_backoff,
+            max_backoff=far.last_backoff,
             source=plan.source,
         )
         self.about = {names.CONTROLLER: str(plan.controller.number)}
@@ -137,7 +137,7 @@
     # Towards the gateway
 
     def tell(self, given: ms.Input) -> None:
-        self.turn.tell(given)
+        self.turn.add(given)
         if isinstance(given, ms.Roster):
             self._withdraw_from(given)
 
@@ -243,7 +243,7 @@
         self.held += len(data)
         if self.steers is not None:
             given.zones = self.steers.zones(given)
-        call.on_gone = lambda: self._client_gone(client)
+        call.on_cancelled = lambda: self._client_gone(client)
         self.tell(given)
 
     def _call_of(self, call: ServerCall, told: Glance, streamed: bool) -> ms.Call:
@@ -281,7 +281,7 @@
         lanes = number(names.LANES, facts.lanes if facts else None)
         memory = number(names.MEMORY, facts.memory / 1e6 if facts and facts.memory else None)
         self.numbers += 1
-        waited = self.turn.pace.unread_on(call.waited)
+        waited = self.turn.pace.possible_wait_on_connection_ms(call.waited)
         return ms.Call(
             f"{self.plan.controller.number}-{self.numbers}",
             name,
@@ -343,7 +343,7 @@
             client.path, metadata, effect.time_out, client.request, lambda event: self._heard(effect.forward, event)
         )
 
-    def _heard(self, number: int, event: Heard):
+    def _heard(self, number: int, event: CallEvent):
         out = self.out.get(number)
         if out is None:
             return
@@ -482,7 +482,7 @@
         time_out: float,
         ended: Callable[[it.Outcome, Metadata], None],
     ):
-        def heard(event: Heard):
+        def heard(event: CallEvent):
             if isinstance(event, Message):
                 self.asked[number].consumed(event.size)
                 return
@@ -558,7 +558,7 @@
     def _look(self):
         self.look = self.loop.call_later(LOOK_EVERY, self._look)
         for name, pool in list(self.pools.items()):
-            pool.look()
+            pool.check()
             if pool.quiet and name not in self.gateway.invokers:
                 del self.pools[name]
 
--- a/sprucespool/daemon/group.py
+++ b/sprucespool/daemon/group.py
@@ -21,7 +21,7 @@
 from sprucespool.settings.controller import ControllerPlan, GroupPlan, loopback
 from sprucespool.transport.listener import Method, ServerCall, unary
 from sprucespool.transport.plan import PoolLimits
-from sprucespool.transport.pool import Heard, Pool
+from sprucespool.transport.pool import CallEvent, Pool
 from sprucespool.wire import names
 from sprucespool.wire import platform_pb2 as platform
 
@@ -140,7 +140,7 @@
             self.looked = self.loop.time()
             self.group.weigh(self.now(), self.weigh())
             for where, pool in list(self.pools.items()):
-                pool.look()
+                pool.check()
                 if pool.quiet:
                     del self.pools[where]
 
@@ -208,7 +208,7 @@
         except ValueError:
             return  # a member that calls itself what is no address
 
-        def heard(event: Heard):
+        def heard(event: CallEvent):
             # It crossed the announcement of its connection's end. A member that leaves is still to be reached.
             if again and isinstance(event, Reset) and event.never_ran:
                 self.loop.call_soon(self._post, to, what, False)
@@ -228,8 +228,8 @@
                 idle_close=20_000.0,
                 keepalive=3_000.0,
                 keepalive_timeout=3_000.0,
-                first_backoff=20.0,
-                last_backoff=400.0,
+                initial_backoff=20.0,
+                max_backoff=400.0,
                 waiting=64,
                 source=self.plan.source,
             )
--- a/sprucespool/daemon/learning.py
+++ b/sprucespool/daemon/learning.py
@@ -20,7 +20,7 @@
 from sprucespool.transport.clock import AnchoredClock
 from sprucespool.transport.listener import Method, ServerCall, unary
 from sprucespool.transport.plan import PoolLimits
-from sprucespool.transport.pool import ENDS, Heard, Pool
+from sprucespool.transport.pool import FINAL_EVENTS, CallEvent, Pool
 from sprucespool.wire import names
 from sprucespool.wire import platform_pb2 as platform
 
@@ -148,11 +148,11 @@
         request = platform.PageRequest(cursor=step.cursor, most=step.most).SerializeToString()
         got: list[bytes] = []
 
-        def heard(event: Heard):
+        def heard(event: CallEvent):
             if isinstance(event, Message):
                 got.append(event.data)
                 call.consumed(event.size)
-            elif isinstance(event, ENDS):
+            elif isinstance(event, FINAL_EVENTS):
                 self._asked(step, event, got)
 
         limit = self.newcomer.limits.page_within
--- a/sprucespool/daemon/roster.py
+++ b/sprucespool/daemon/roster.py
@@ -16,7 +16,7 @@
 from sprucespool.settings import Refused, read
 from sprucespool.settings.controller import Invokers, address
 from sprucespool.transport.plan import Backoff, PoolLimits
-from sprucespool.transport.pool import Heard, Pool, PoolCall
+from sprucespool.transport.pool import CallEvent, Pool, PoolCall
 from sprucespool.wire import names
 from sprucespool.wire import platform_pb2 as platform
 
@@ -96,8 +96,8 @@
         limits = PoolLimits(
             connections=1,
             connect_timeout=1000.0,
-            first_backoff=20.0,
-            last_backoff=2000.0,
+            initial_backoff=20.0,
+            max_backoff=2000.0,
             keepalive=2000.0,
             keepalive_timeout=2000.0,
             source=source,
@@ -116,7 +116,7 @@
 
     def _look(self):
         if not self.stopped:
-            self.pool.look()
+            self.pool.check()
             self.loop.call_later(1.0, self._look)
 
     def subscribe(self, active: bool) -> None:
@@ -135,7 +135,7 @@
         self.call = self.pool.call(names.ROSTER_WATCH, self.about, None, request.SerializeToString(), self._heard)
 
     def fetch(self) -> None:
-        def heard(event: Heard):
+        def heard(event: CallEvent):
             if isinstance(event, Message):
                 self._news(event.data)
                 call.consumed(event.size)
@@ -144,9 +144,9 @@
 
         call = self.pool.call(names.ROSTER_FETCH, self.about, 5000.0, b"", heard)
 
-    def _heard(self, event: Heard):
+    def _heard(self, event: CallEvent):
         if isinstance(event, Message):
-            self.backoff.worked()
+            self.backoff.succeeded()
             self._news(event.data)
             if self.call is not None:
                 self.call.consumed(event.size)
--- a/sprucespool/daemon/serve.py
+++ b/sprucespool/daemon/serve.py
@@ -105,7 +105,7 @@
             ),
         )
         # The listener hears from the door how late the loop is.
-        self.listener.acceptor.unread = self.door.turn.pace.unread
+        self.listener.acceptor.possible_wait_ms = self.door.turn.pace.possible_wait_ms
         tell = self._roster_told
         self.roster: RosterFile | RosterWatch
         if plan.roster.watch is not None:
--- a/sprucespool/node/channel.py
+++ b/sprucespool/node/channel.py
@@ -9,7 +9,7 @@
 from sprucespool.gateway import messages as ms
 from sprucespool.transport.clock import AnchoredClock
 from sprucespool.node.logs import Log
-from sprucespool.relay.feed import EntryError, FeedLink, Roster, Told
+from sprucespool.relay.feed import EntryError, FeedLink, Roster, ChannelEvent
 from sprucespool.transport.wire import Wire
 
 # Times in milliseconds. A comment comes each second: a watch that tells nothing for longer may have stopped.
@@ -85,7 +85,7 @@
             return
         if not self.watches:
             self._connect()
-        elif all(now - wire.heard > SILENT for wire in self.watches):
+        elif all(now - wire.last_received_at > SILENT for wire in self.watches):
             self.log.info("channel silent", watches=len(self.watches))
             if len(self.watches) == MOST_WATCHES:
                 self._end_watches(self.watches[:1], "silent")
@@ -94,7 +94,7 @@
     def _end_replaced(self):
         """A watch that has spoken takes the place of those before it."""
         for place in range(len(self.watches) - 1, 0, -1):
-            if self.watches[place].heard > self.watches[place].opened:
+            if self.watches[place].last_received_at > self.watches[place].opened:
                 return self._end_watches(self.watches[:place], "replaced")
 
     def unheard_for(self) -> float:
@@ -134,9 +134,9 @@
         self.task = None
         if wire.lost:
             return self._later()
-        if wire.heard == wire.opened:
+        if wire.last_received_at == wire.opened:
             # Silence counts from here, not from when the connection was begun.
-            wire.opened = wire.heard = self.now()
+            wire.opened = wire.last_received_at = self.now()
         self.watches.append(wire)
         self.connected += 1
 
@@ -160,20 +160,20 @@
             if not self.watches and not self.closed:
                 self._later()
 
-    def _events(self, wire: Wire, events: list[Told]):
+    def _events(self, wire: Wire, events: list[ChannelEvent]):
         self.failures = 0
         for event in events:
             if wire.lost:
                 return
             try:
-                news = self.roster.told(event, self.clock.unix_ms())
+                news = self.roster.apply(event, self.clock.unix_ms())
             except EntryError as problem:
                 self.log.error("channel", problem=problem)
                 self.misread += 1
                 if self.misread < MOST_READINGS:
                     # It may have been spoilt on its way.
                     return wire.end(f"event {event.number} can't be used", at_once=True)
-                news = self.roster.pass_over(event, self.clock.unix_ms())
+                news = self.roster.apply_usable(event, self.clock.unix_ms())
             if news is None:
                 # Never passed over: what is missing may be an invoker that drains.
                 return wire.end(f"event {event.number} after {self.roster.last}", at_once=True)
--- a/sprucespool/node/clients.py
+++ b/sprucespool/node/clients.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 from sprucespool.node.logs import Log
-from sprucespool.relay.frames import FrontLink, ReadyAsked, Request, TakenBack, Terms
+from sprucespool.relay.frames import FrameLink, ReadinessQuery, Request, Cancellation, RequestReader
 from sprucespool.transport.acceptor import Acceptor
 from sprucespool.transport.wire import Wire
 
@@ -46,7 +46,7 @@
         self.front = front
         # How long the connection may have waited to be accepted; None once something was read.
         self._waited: float | None = waited
-        self.link = FrontLink(front.terms)
+        self.link = FrameLink(front.terms)
         self.wire = Wire(self.link, self._events, self._lost, self._made, HIGH_WATER)
         self.wire.linger, self.wire.on_closed = LINGER, self._closed
         self.idle_since = self.wire.opened
@@ -63,11 +63,11 @@
             if isinstance(event, Request):
                 if not calls.asked(self, event):
                     return self.cut("an id that is in use", self.front.pause)
-            elif isinstance(event, TakenBack):
+            elif isinstance(event, Cancellation):
                 calls.taken_back(self, event.stream)
-            elif isinstance(event, ReadyAsked):
+            elif isinstance(event, ReadinessQuery):
                 self.link.readiness(event.stream, calls.ready)
-        self.idle_since = wire.heard
+        self.idle_since = wire.last_received_at
         self._waited = None
 
     @property
@@ -91,7 +91,7 @@
 
     def cut(self, why: str, pause: float = 0.0) -> None:
         """End the connection with a word of error, said after `pause` ms."""
-        self.link.last_word()
+        self.link.fail_open()
         self.wire.delay = pause
         self.wire.end(why)
 
@@ -105,9 +105,9 @@
             return wire.end("a client that does not read", at_once=True)
         if not link.frames and now - wire.opened > SILENT:
             self.cut("nothing whole came")
-        elif link.rest.half(now) > HALF:
+        elif link.unparsed.incomplete_for(now) > HALF:
             self.cut("half a frame")
-        elif not self.calls and not link.rest and now - self.idle_since > IDLE:
+        elif not self.calls and not link.unparsed and now - self.idle_since > IDLE:
             wire.linger = 0.0
             wire.end("idle")
 
@@ -116,7 +116,7 @@
     """The listener for clients."""
 
     def __init__(
-        self, terms: Terms, calls: Calls, log: Log, sockets: int, memory_mb: float, unread: Callable[[], float]
+        self, terms: RequestReader, calls: Calls, log: Log, sockets: int, memory_mb: float, unread: Callable[[], float]
     ):
         self.terms, self.calls, self.log = terms, calls, log
         self.loop = asyncio.get_running_loop()
@@ -146,7 +146,7 @@
     def _exhausted(self, problem: OSError):
         """No descriptor or memory for a new connection: one that nobody uses makes room."""
         self.log.info("connection not accepted yet", why=f"{type(problem).__name__}: {problem}")
-        unused = next((peer for peer in self.open if not peer.calls and not peer.link.rest), None)
+        unused = next((peer for peer in self.open if not peer.calls and not peer.link.unparsed), None)
         if problem.errno == errno.EMFILE and (unused is not None or len(self.all) > len(self.open)):
             self._evict()
 
@@ -185,21 +185,21 @@
         self.timer = self.loop.call_later(LOOK_EVERY, self._look)
         now, half = self.now(), 0
         for peer in list(self.open):
-            half += len(peer.link.rest)
+            half += len(peer.link.unparsed)
             peer.look(now)
-            if half > self.most_half and peer.link.rest:
+            if half > self.most_half and peer.link.unparsed:
                 peer.cut("too much is half received", self.pause)
 
     def no_more(self) -> None:
         """Ask for no new requests; what comes all the same is answered, also on new connections."""
         for peer in list(self.open):
-            peer.link.no_more()
+            peer.link.announce_drain()
             peer.wire.flush_soon()
 
     @property
     def half_received(self) -> bool:
         """Whether a request is on its way in, on any connection."""
-        return any(peer.link.rest for peer in self.open)
+        return any(peer.link.unparsed for peer in self.open)
 
     @property
     def unwritten(self) -> bool:
--- a/sprucespool/node/door.py
+++ b/sprucespool/node/door.py
@@ -20,10 +20,10 @@
 from sprucespool.node.reports import Reports
 from sprucespool.relay.configuration import Configuration
 from sprucespool.relay.feed import Roster
-from sprucespool.relay.frames import Request, Terms
+from sprucespool.relay.frames import Request, RequestReader
 from sprucespool.relay.lines import Answer, InvokerLink
 from sprucespool.transport.plan import PoolLimits
-from sprucespool.transport.turn import Turn
+from sprucespool.transport.input_batcher import InputBatcher
 
 LOOK_EVERY = 0.25
 # Of the time after which invokers close idle connections: ours close first, or a forward meets the close.
@@ -63,10 +63,12 @@
     def __init__(self, plan: Configuration, log: Log, clock: AnchoredClock):
         self.plan, self.log, self.clock = plan, log, clock
         self.gateway = Gateway(plan.deployment, plan.seed, self._effect)
-        self.turn = Turn(self.gateway.take, self._after)
+        self.turn = InputBatcher(self.gateway.take, self._after)
         self.loop = self.turn.loop
         self.roster = Roster()
-        self.front = Front(Terms(plan.deployment), self, log, plan.sockets, plan.memory_mb, self.turn.pace.unread)
+        self.front = Front(
+            RequestReader(plan.deployment), self, log, plan.sockets, plan.memory_mb, self.turn.pace.possible_wait_ms
+        )
         self.clients: dict[str, _Client] = {}
         self.ids: dict[str, _Client] = {}
         self.out: dict[int, _Out] = {}
@@ -101,7 +103,7 @@
 
     def start(self) -> None:
         """What the configuration knows of the invokers."""
-        for news in self.roster.known(self.plan.cursor, self.plan.commands, self.clock.unix_ms()):
+        for news in self.roster.restore(self.plan.cursor, self.plan.commands, self.clock.unix_ms()):
             self.rostered(news)
         self.discovery_heard(None)
         self.ready = True
@@ -112,7 +114,7 @@
             if self.roster.places.get(name) != invoker.place:
                 del self.invokers[name]
                 self.leaving[invoker] = None
-        self.turn.tell(news)
+        self.turn.add(news)
         for row in news.rows:
             listed = self.invokers.get(row.invoker)
             if listed is None:
@@ -126,7 +128,7 @@
 
     def discovery_heard(self, age: float | None) -> None:
         """So long ago (ms) nothing was left untold; None: not yet since the start."""
-        self.turn.tell(ms.DiscoveryHeard(age))
+        self.turn.add(ms.DiscoveryHeard(age))
 
     def invoker(self, name: str) -> Invoker | None:
         place = self.roster.places.get(name)
@@ -137,8 +139,8 @@
                 connections=CONNECTIONS,
                 connect_timeout=self.plan.deployment.connect_timeout,
                 idle_close=IDLE_PART * self.plan.idle_close,
-                first_backoff=FIRST_PAUSE,
-                last_backoff=LAST_PAUSE,
+                initial_backoff=FIRST_PAUSE,
+                max_backoff=LAST_PAUSE,
             )
             self.numbers += 1
             self.invokers[name] = Invoker(
@@ -147,7 +149,7 @@
                 self.plan.streams,
                 self.plan.seed + 7919 * self.numbers,
                 lambda what, why: self.log.debug(what, invoker=name, why=why),
-                lambda: self.turn.tell(ms.Disconnected(name)),
+                lambda: self.turn.add(ms.Disconnected(name)),
                 self.turn.pace,
             )
         return self.invokers[name]
@@ -165,7 +167,7 @@
             peer.link.shed(request.stream, 0.0)
             peer.answered(request.stream)
             return True
-        unread = self.turn.pace.unread_on(peer.waited)
+        unread = self.turn.pace.possible_wait_on_connection_ms(peer.waited)
         ttl = request.ttl - max(self.turn.lag, unread)
         if self.until is not None:
             ttl = min(ttl, self.until - now)
@@ -187,7 +189,7 @@
         peer.calls[request.stream] = client
         self.clients[given.call] = self.ids[request.id] = client
         self.held += len(request.body)
-        self.turn.tell(given)
+        self.turn.add(given)
         return True
 
     def taken_back(self, peer: Peer, stream: int) -> None:
@@ -195,7 +197,7 @@
         if isinstance(client, _Client):
             # Hundreds taken back at once are not worth a look of the module each.
             if not self.turn.withdraw(client.given):
-                self.turn.tell(ms.Left(client.call))
+                self.turn.add(ms.Left(client.call))
             self._done(client, "left")
 
     def _done(self, client: _Client, how: str):
@@ -246,7 +248,7 @@
         client, invoker = self.clients.get(effect.call), self.invoker(effect.invoker)
         if client is None or invoker is None:
             # The client or the invoker left in this very turn of the loop.
-            return self.turn.tell(ms.ForwardEnded(effect.forward, it.Outcome.NOT_SENT.value))
+            return self.turn.add(ms.ForwardEnded(effect.forward, it.Outcome.NOT_SENT.value))
         out = self.out[effect.forward] = _Out(client, effect.invoker)
         request = client.request
         client.forwards.append(effect.invoker)
@@ -272,7 +274,7 @@
                 self.reports.turned_away(out.invoker, out.client.request.id)
             out.body = end.body
             told = self.plan.deployment.tells_same_model and end.outcome in (it.Outcome.RETURNED, it.Outcome.FULL)
-            self.turn.tell(
+            self.turn.add(
                 ms.ForwardEnded(
                     number,
                     end.outcome.value,
@@ -283,7 +285,7 @@
                 )
             )
         else:
-            self.turn.tell(ms.ForwardEnded(number, end.value))
+            self.turn.add(ms.ForwardEnded(number, end.value))
         if self.log.debugging:
             outcome = end.outcome if isinstance(end, Answer) else end
             self.log.debug(
@@ -315,10 +317,10 @@
         tag = f"o{effect.order}"
 
         def ended(end: Answer | it.Outcome):
-            standing = end.standing if isinstance(end, Answer) else 0
+            standing = end.loaded_copies if isinstance(end, Answer) else 0
             outcome = end.outcome if isinstance(end, Answer) else end
             self.log.debug("order", invoker=effect.invoker, model=effect.model, end=outcome.value, standing=standing)
-            self.turn.tell(ms.OrderEnded(effect.order, outcome.value, standing))
+            self.turn.add(ms.OrderEnded(effect.order, outcome.value, standing))
 
         # Like a run: what was allowed so long ago may not be allowed any more.
         write_by = self.turn.now() + self.plan.deployment.connect_timeout
@@ -334,7 +336,7 @@
 
         def ended(end: Answer | it.Outcome):
             outcome = end.outcome if isinstance(end, Answer) else end
-            self.turn.tell(ms.ProbeEnded(effect.probe, outcome.value, end.report if isinstance(end, Answer) else {}))
+            self.turn.add(ms.ProbeEnded(effect.probe, outcome.value, end.report if isinstance(end, Answer) else {}))
 
         self._ask(effect.probe, effect.invoker, tag, lambda link: link.probe(tag, bool(fields)), ended)
         ask = self.ordered.get(effect.probe)
@@ -345,7 +347,7 @@
         if self.ordered.get(number) is ask:
             del self.ordered[number]
             ask.give_up()
-            self.turn.tell(ms.ProbeEnded(number, it.Outcome.TIMED_OUT.value))
+            self.turn.add(ms.ProbeEnded(number, it.Outcome.TIMED_OUT.value))
 
     def _unload(self, effect: ms.SendUnload):
         invoker = self.invoker(effect.invoker)
--- a/sprucespool/node/invokers.py
+++ b/sprucespool/node/invokers.py
@@ -73,9 +73,9 @@
 
     def note(self):
         slot = self.slot
-        slot.open_calls, slot.heard = len(self.asks), self.wire.heard
+        slot.open_calls, slot.last_received_at = len(self.asks), self.wire.last_received_at
         room = self.invoker.streams - len(self.asks)
-        slot.room = 0 if self.silent or len(self.link.used) >= MOST_USED else room
+        slot.room = 0 if self.silent or len(self.link.used_tags) >= MOST_USED else room
         if not self.asks:
             slot.idle_since = self.invoker.now()
 
@@ -83,7 +83,7 @@
         if self.asks.pop(ask.tag, None) is None:
             return
         left = self.link.give_up(ask.tag)
-        if left and self.wire.heard < ask.at and self.invoker.now() - ask.at > SILENT:
+        if left and self.wire.last_received_at < ask.at and self.invoker.now() - ask.at > SILENT:
             self.silent = True
         if left and self.wire.paused and self.link.last_written == ask.tag:
             self.invoker.loop.call_later(UNWRITTEN, self._end_if_unwritten, ask.tag)
@@ -97,7 +97,7 @@
 
     def withdraw_unsent(self) -> list[Ask]:
         """Take back what the socket holds nothing of; gives what that was."""
-        unsent = [self.asks.pop(tag) for tag in list(self.link.out)]
+        unsent = [self.asks.pop(tag) for tag in list(self.link.unsent)]
         for ask in unsent:
             self.link.give_up(ask.tag)
         if unsent:
@@ -111,21 +111,21 @@
             if ask is not None:
                 ask.end(answer)
         self.note()
-        if self.link.spoilt:
-            wire.end(str(self.link.spoilt), at_once=True)
+        if self.link.read_error:
+            wire.end(str(self.link.read_error), at_once=True)
         elif self.slot.room > 0:
             self.invoker.place_soon()
 
     def _lost(self, wire: Wire, why: str):
         self.invoker.drop(self)
-        if not self.invoker.conns and not wire.ended_here:
+        if not self.invoker.conns and not wire.ended_locally:
             self.invoker.disconnected()
         asks, self.asks = list(self.asks.values()), {}
         if asks:
             self.invoker.told("connection lost", f"{why}, {len(asks)} open on it")
         for ask in asks:
             # What was never handed to the socket has certainly not run.
-            ask.end(it.Outcome.RESET if self.link.left(ask.tag) else it.Outcome.UNCONNECTED)
+            ask.end(it.Outcome.RESET if self.link.was_sent(ask.tag) else it.Outcome.UNCONNECTED)
 
 
 class Invoker(Opener[_Conn, Ask]):
@@ -151,10 +151,10 @@
     def connection(self, slot: Slot) -> _Conn:
         return _Conn(self, slot)
 
-    def unconnected(self, call: Ask, why: str) -> None:
+    def fail_unconnected(self, call: Ask, why: str) -> None:
         call.end(it.Outcome.UNCONNECTED)
 
-    def not_connected(self, why: str) -> None:
+    def on_connect_failed(self, why: str) -> None:
         self.told("not connected", why)
 
     def ask(
@@ -214,7 +214,7 @@
 
     def _where(self, ask: Ask) -> tuple[Slot | None, bool, str]:
         # A late answer to an earlier run of the same id would end this one: that goes on another connection.
-        known = [conn for conn in self.conns.values() if ask.tag in conn.link.used]
+        known = [conn for conn in self.conns.values() if ask.tag in conn.link.used_tags]
         for conn in known:
             conn.slot.room = 0
         found = self.plan.place(self.now(), 0)
@@ -226,11 +226,11 @@
         """Called now and then."""
         now = self.now()
         for conn in list(self.conns.values()):
-            if conn.link.rest.half(now) > HALF:
+            if conn.link.unparsed.incomplete_for(now) > HALF:
                 conn.wire.end("an answer stopped half-way", at_once=True)
             elif conn.slot.room <= 0 and not conn.asks:
                 conn.wire.end("of no more use", at_once=conn.silent)
-        for slot in self.plan.look(now)[0]:
+        for slot in self.plan.check(now)[0]:
             self.conns[slot].wire.end("idle")
 
     def close_idle(self) -> None:
--- a/sprucespool/node/serve.py
+++ b/sprucespool/node/serve.py
@@ -20,7 +20,7 @@
 from sprucespool.node.logs import Log
 from sprucespool.relay.configuration import Configuration, ConfigurationError, read
 from sprucespool.relay.feed import EntryError
-from sprucespool.transport.errors import PASSING_ERRORS, PASSING_PAUSE
+from sprucespool.transport.errors import TRANSIENT_ERRORS, TRANSIENT_RETRY_SECONDS
 
 # Times in milliseconds. After SIGTERM clients still come for a while. The platform kills no sooner than the longest
 # deadline of a request, counted as so much at the most, and a while more; what is owed is answered well before.
@@ -136,7 +136,7 @@
 
     def allows(self, problem: OSError) -> bool:
         """Whether it is worth another try."""
-        passing = problem.errno in PASSING_ERRORS or problem.errno == errno.EADDRINUSE
+        passing = problem.errno in TRANSIENT_ERRORS or problem.errno == errno.EADDRINUSE
         return passing and time.monotonic() <= self._until
 
 
@@ -149,7 +149,7 @@
         except OSError as problem:
             if not patience.allows(problem) or signal.SIGTERM in early:
                 raise
-        await asyncio.sleep(PASSING_PAUSE)
+        await asyncio.sleep(TRANSIENT_RETRY_SECONDS)
 
 
 async def _serve(path: str, plan: Configuration, log: Log, early: list[int]) -> int:
@@ -210,7 +210,7 @@
         except OSError as problem:
             if not patience.allows(problem):
                 raise
-        time.sleep(PASSING_PAUSE)
+        time.sleep(TRANSIENT_RETRY_SECONDS)
 
 
 def serve(early: list[int]) -> int:
--- a/sprucespool/relay/configuration.py
+++ b/sprucespool/relay/configuration.py
@@ -35,7 +35,7 @@
     streams: int
 
 
-def flat(settings: dict[str, Any]) -> dict[str, str]:
+def flatten(settings: dict[str, Any]) -> dict[str, str]:
     """Nested settings as the path=value pairs of the simulator's wire, which have one reading already."""
     pairs: dict[str, str] = {}
 
@@ -98,7 +98,7 @@
     known = inside(told, "known", dict, "known")
     cursor = inside(known, "cursor", int, "known.cursor")
     commands = inside(known, "cmds", list, "known.cmds")
-    pairs = Settings(flat(settings))
+    pairs = Settings(flatten(settings))
     try:
         dep = deployment(pairs)
         idle, streams = pairs.number("ceilings.idleClose", 0.0), pairs.number("ceilings.streamsPerConn", 0.0)
--- a/sprucespool/relay/feed.py
+++ b/sprucespool/relay/feed.py
@@ -18,7 +18,7 @@
 # No start of an invoker for so long (ms), and the own clock is taken to be ahead rather than the fleet so quiet.
 LONGEST_CREDIBLE = 30 * 60_000.0
 # How late the news of an invoker's start may be.
-LATEST_NEWS = 60_000.0
+MAX_START_REPORT_DELAY_MS = 60_000.0
 STATES = {"up": it.Status.IN_SERVICE, "draining": it.Status.DRAINING, "removed": it.Status.GONE}
 
 
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True)
-class Told:
+class ChannelEvent:
     """One event: its number, and what it says."""
 
     number: int
@@ -53,22 +53,22 @@
             )
         )
         self.out = (self.out or b"") + (self.http.send(h11.EndOfMessage()) or b"")
-        self.rest = b""
+        self.partial_line = b""
         self.number: int | None = None
         self.data: list[bytes] = []
         self.ended = False
         # When an event or a comment last ended with nothing half told behind it (ms); None before the first.
         self.current_at: float | None = None
 
-    def outgoing(self, data_too: bool = True) -> tuple[bytes, list[Told]]:
+    def outgoing(self, data_too: bool = True) -> tuple[bytes, list[ChannelEvent]]:
         out, self.out = self.out or b"", b""
         return out, []
 
     def forget(self) -> None:
-        self.rest = b""
+        self.partial_line = b""
 
-    def receive(self, data: memoryview | bytes, now: float) -> list[Told]:
-        told: list[Told] = []
+    def receive(self, data: memoryview | bytes, now: float) -> list[ChannelEvent]:
+        told: list[ChannelEvent] = []
         try:
             self.http.receive_data(bytes(data))
             while True:
@@ -79,7 +79,7 @@
                     raise FeedError(f"expected status 200, got {event.status_code}")
                 if isinstance(event, h11.Data):
                     self._lines(bytes(event.data), told)
-                    if not self.rest and self.number is None and not self.data:
+                    if not self.partial_line and self.number is None and not self.data:
                         self.current_at = now
                 elif isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
                     self.ended = True
@@ -87,9 +87,9 @@
         except h11.RemoteProtocolError as problem:
             raise FeedError(f"no HTTP: {problem}") from None
 
-    def _lines(self, data: bytes, told: list[Told]):
-        *lines, self.rest = (self.rest + data).split(b"\n")
-        if len(self.rest) + sum(map(len, self.data)) > LARGEST_EVENT:
+    def _lines(self, data: bytes, told: list[ChannelEvent]):
+        *lines, self.partial_line = (self.partial_line + data).split(b"\n")
+        if len(self.partial_line) + sum(map(len, self.data)) > LARGEST_EVENT:
             raise FeedError(f"expected an event of at most {LARGEST_EVENT} bytes")
         for line in lines:
             line = line.removesuffix(b"\r")
@@ -97,7 +97,7 @@
             value = value.removeprefix(b" ")
             if not line:
                 if self.number is not None and self.data:
-                    told.append(Told(self.number, b"\n".join(self.data)))
+                    told.append(ChannelEvent(self.number, b"\n".join(self.data)))
                 self.number, self.data = None, []
             elif name == b"id":
                 if not value.isdigit() or len(value) > 15:
@@ -142,7 +142,7 @@
     def age(self, born: float, unix: float, known: bool) -> float:
         """`known`: the invoker was listed before, perhaps as another process."""
         age = max(0.0, unix + self.correction - born)
-        if not known and unix > self.began and age > unix - self.began + LATEST_NEWS:
+        if not known and unix > self.began and age > unix - self.began + MAX_START_REPORT_DELAY_MS:
             # It was in no list when this process began: it can't be much older than that.
             return 0.0
         return age
@@ -188,7 +188,7 @@
         self.places: dict[str, Place] = {}
         self.ages = Ages()
 
-    def known(self, cursor: int, commands: list[Any], unix: float) -> list[ms.Roster]:
+    def restore(self, cursor: int, commands: list[Any], unix: float) -> list[ms.Roster]:
         """What the configuration tells: all up to `cursor`, older than what the channel told since."""
         news = [ms.Roster(it.News.RESTORED.value)] if not self.last else []
         self.ages.start(commands, unix)
@@ -199,7 +199,7 @@
         self.last = max(self.last, cursor)
         return news
 
-    def told(self, event: Told, unix: float) -> list[ms.Roster] | None:
+    def apply(self, event: ChannelEvent, unix: float) -> list[ms.Roster] | None:
         """None where events between are missing. Raises EntryError."""
         if event.number <= self.last:
             return []
@@ -212,7 +212,7 @@
             return None
         return self._read(event.number, change, unix)
 
-    def pass_over(self, event: Told, unix: float) -> list[ms.Roster]:
+    def apply_usable(self, event: ChannelEvent, unix: float) -> list[ms.Roster]:
         """What can be used of an event that has something else in it, however often it is asked for."""
         try:
             command = msgspec.json.decode(event.data)
--- a/sprucespool/relay/frames.py
+++ b/sprucespool/relay/frames.py
@@ -11,7 +11,7 @@
 
 from sprucespool import interface as it
 from sprucespool.links import IllegalMove, LinkError
-from sprucespool.relay.rest import Rest
+from sprucespool.relay.unparsed import UnparsedBytes
 
 HEAD, NAME_SIZE, VALUE_SIZE = 4, 1, 2
 SMALLEST, LARGEST = 5, 262_144
@@ -57,16 +57,16 @@
 
 
 @dataclass(slots=True)
-class TakenBack:
+class Cancellation:
     stream: int
 
 
 @dataclass(slots=True)
-class ReadyAsked:
+class ReadinessQuery:
     stream: int
 
 
-Event = Request | TakenBack | ReadyAsked
+Event = Request | Cancellation | ReadinessQuery
 
 
 def fields_of(data: bytes, at: int, end: int) -> tuple[dict[str, str], int]:
@@ -92,7 +92,7 @@
     return found, at
 
 
-def written(fields: dict[str, str]) -> bytes:
+def encode_fields(fields: dict[str, str]) -> bytes:
     parts = [bytes((len(fields),))]
     for name, value in fields.items():
         for width, text in (NAME_SIZE, name.encode()), (VALUE_SIZE, value.encode()):
@@ -100,7 +100,7 @@
     return b"".join(parts)
 
 
-class Terms:
+class RequestReader:
     """What a request may name here."""
 
     def __init__(self, deployment: it.Deployment):
@@ -166,14 +166,14 @@
     return (5 + len(payload)).to_bytes(4, "big") + bytes((kind,)) + stream.to_bytes(4, "big") + payload
 
 
-class FrontLink:
+class FrameLink:
     """The serving end of one client's connection."""
 
     more = False
 
-    def __init__(self, terms: Terms):
+    def __init__(self, terms: RequestReader):
         self.terms = terms
-        self.rest = Rest()
+        self.unparsed = UnparsedBytes()
         self.open: set[int] = set()
         self.highest = self.frames = 0
         self.out: list[bytes] = []
@@ -183,7 +183,7 @@
 
     def receive(self, data: memoryview | bytes, now: float) -> list[Event]:
         """All that came whole. After an error `outgoing` has the last words; nothing of this reading counts."""
-        read = self.rest.take(data)
+        read = self.unparsed.append(data)
         if read is None:
             return []
         events: list[Event] = []
@@ -193,11 +193,11 @@
             if not SMALLEST <= length <= LARGEST:
                 raise self._bad(0, FrameError(f"expected a length of {SMALLEST} to {LARGEST}, got {length}"))
             if size - at < HEAD + length:
-                self.rest.need = HEAD + length
+                self.unparsed.need = HEAD + length
                 break
             self._frame(read, at + HEAD, at + HEAD + length, events)
             at += HEAD + length
-        self.rest.keep(read, at, now)
+        self.unparsed.keep_from(read, at, now)
         return events
 
     def _frame(self, read: bytes, at: int, end: int, events: list[Event]):
@@ -221,17 +221,17 @@
                 raise self._bad(0, FrameError(f"expected the number of a request, got {stream}"))
             if stream in self.open:
                 self.open.discard(stream)
-                events.append(TakenBack(stream))
+                events.append(Cancellation(stream))
         elif kind == READY:
-            events.append(ReadyAsked(stream))
+            events.append(ReadinessQuery(stream))
         else:
             raise self._bad(0, FrameError(f"expected a frame that clients send, got type {kind}"))
 
     def _bad(self, stream: int, problem: FrameError) -> FrameError:
-        self.last_word(stream)
+        self.fail_open(stream)
         return problem
 
-    def last_word(self, stream: int = 0) -> None:
+    def fail_open(self, stream: int = 0) -> None:
         """Tell of an error (on stream 0 it belongs to no request), and fail what is open: the connection is about to
         end, and whatever was taken is owed an answer."""
         failed = [stream, *sorted(self.open - {stream})]
@@ -254,7 +254,7 @@
 
     def shed(self, stream: int, retry_after: float) -> None:
         wait = {"after": str(math.ceil(retry_after))} if retry_after > 0 else {}
-        self._answer(stream, bytes((SHED,)) + written(wait))
+        self._answer(stream, bytes((SHED,)) + encode_fields(wait))
 
     def failed(self, stream: int) -> None:
         self._answer(stream, bytes((FAILED, 0)))
@@ -262,9 +262,9 @@
     def readiness(self, stream: int, ready: bool) -> None:
         self._write(READINESS, stream, bytes((0 if ready else SHED, 0)))
 
-    def no_more(self) -> None:
+    def announce_drain(self) -> None:
         """No new request on this connection."""
-        self._write(NO_MORE, 0, written({}))
+        self._write(NO_MORE, 0, encode_fields({}))
 
     def outgoing(self, data_too: bool = True) -> tuple[bytes, list[Event]]:
         last, self.last = self.last, b""
@@ -274,5 +274,5 @@
         return out + last, []
 
     def forget(self) -> None:
-        self.rest, self.out = Rest(), []
+        self.unparsed, self.out = UnparsedBytes(), []
         self.open.clear()
--- a/sprucespool/relay/lines.py
+++ b/sprucespool/relay/lines.py
@@ -13,7 +13,7 @@
 
 from sprucespool import interface as it
 from sprucespool.links import IllegalMove, LinkError
-from sprucespool.relay.rest import Rest
+from sprucespool.relay.unparsed import UnparsedBytes
 
 LONGEST_LINE, LARGEST_BODY = 4096, 262_144
 END = b"\r\n"
@@ -51,7 +51,7 @@
     found: it.Found = it.Found.UNTOLD
     load_failed: bool = False
     same_model: int = 0
-    standing: int = 0
+    loaded_copies: int = 0
     report: dict[str, float] = field(default_factory=dict)
     body: bytes = b""
 
@@ -102,28 +102,28 @@
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self.clock = clock
-        self.rest = Rest()
+        self.unparsed = UnparsedBytes()
         self.open: dict[str, str] = {}
         # Tags that were asked with here: a late or doubled answer must not end a later run of the same id.
-        self.used: dict[str, None] = {}
-        self.out: dict[str, _Line] = {}
+        self.used_tags: dict[str, None] = {}
+        self.unsent: dict[str, _Line] = {}
         # Whose line was given out last: of it the socket may hold a part.
         self.last_written = ""
         self.drops: list[bytes] = []
         self.skipped = 0
         # What ended the reading, where good answers came before it.
-        self.spoilt: LineError | None = None
+        self.read_error: LineError | None = None
 
     # Out
 
     @property
     def more(self) -> bool:
-        return bool(self.out or self.drops)
+        return bool(self.unsent or self.drops)
 
     def _ask(self, kind: str, tag: str, line: _Line):
-        if tag in self.used:
+        if tag in self.used_tags:
             raise IllegalMove(f"{tag} was asked with on this connection")
-        self.open[tag], self.used[tag], self.out[tag] = kind, None, line
+        self.open[tag], self.used_tags[tag], self.unsent[tag] = kind, None, line
 
     def run(
         self,
@@ -155,15 +155,15 @@
         kind = self.open.pop(tag, None)
         if kind is None:
             return True
-        if self.out.pop(tag, None) is not None:
+        if self.unsent.pop(tag, None) is not None:
             return False
         if kind == RUN:
             self.drops.append(f"drop {tag}\r\n".encode())
         return True
 
-    def left(self, tag: str) -> bool:
+    def was_sent(self, tag: str) -> bool:
         """Whether the line was handed to the socket: what was not has certainly not run."""
-        return tag not in self.out
+        return tag not in self.unsent
 
     def outgoing(self, data_too: bool = True) -> tuple[bytes, list[Answer]]:
         """One line, so that all others can still be taken back; and runs whose time was over before that."""
@@ -174,9 +174,9 @@
             return drops, []
         expired: list[Answer] = []
         now = self.clock()
-        while self.out:
-            tag = next(iter(self.out))
-            line = self.out.pop(tag).written(now)
+        while self.unsent:
+            tag = next(iter(self.unsent))
+            line = self.unsent.pop(tag).written(now)
             if line is not None:
                 self.last_written = tag
                 return line, expired
@@ -185,14 +185,14 @@
         return b"", expired
 
     def forget(self) -> None:
-        self.rest = Rest()
+        self.unparsed = UnparsedBytes()
         self.open.clear()
-        self.out.clear()
+        self.unsent.clear()
 
     # In
 
     def receive(self, data: memoryview | bytes, now: float) -> list[Answer]:
-        read = self.rest.take(data)
+        read = self.unparsed.append(data)
         if read is None:
             return []
         answers: list[Answer] = []
@@ -207,10 +207,10 @@
                     answers.append(answer)
         except LineError as problem:
             # What was read before the noise is good: it must not count as broken off.
-            self.spoilt = problem
+            self.read_error = problem
             if not answers:
                 raise
-        self.rest.keep(read, at, now)
+        self.unparsed.keep_from(read, at, now)
         return answers
 
     def _answer(self, read: bytes, at: int) -> tuple[Answer | None, int] | None:
@@ -229,7 +229,7 @@
         begin = stop + len(END)
         end = begin + length
         if len(read) < end + len(END):
-            self.rest.need = end + len(END) - at
+            self.unparsed.need = end + len(END) - at
             if len(read) > end and read[end : end + 1] != END[:1]:
                 raise LineError("expected a line's end after the body")
             return None
--- a/sprucespool/relay/rest.py
+++ b/sprucespool/relay/unparsed.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Rest:
+class UnparsedBytes:
     """Bytes of a message that is not whole. One that comes byte by byte is not copied with each of them: `need` is how
     many bytes it is known to take."""
 
@@ -16,7 +16,7 @@
     def __len__(self) -> int:
         return len(self.data)
 
-    def take(self, data: memoryview | bytes) -> bytes | None:
+    def append(self, data: memoryview | bytes) -> bytes | None:
         """All that is unread, with what came now; None while it is known to be too little."""
         if not self.data:
             return bytes(data)
@@ -26,11 +26,11 @@
         self.need = 0
         return bytes(self.data)
 
-    def keep(self, read: bytes, at: int, now: float) -> None:
+    def keep_from(self, read: bytes, at: int, now: float) -> None:
         """Of what `take` gave, all from `at` on is still to be used."""
         if at or not self.data:
             self.data, self.since = bytearray(read[at:]), now
 
-    def half(self, now: float) -> float:
+    def incomplete_for(self, now: float) -> float:
         """For how long something has been half received; 0 where nothing is."""
         return now - self.since if self.data else 0.0
--- a/sprucespool/standin/clients.py
+++ b/sprucespool/standin/clients.py
@@ -19,7 +19,7 @@
 from sprucespool.standin.trace import Notes, now_ms
 from sprucespool.standin.traffic import LEAST_WAIT, Asking, Plan, patience, repeated
 from sprucespool.transport.plan import PoolLimits
-from sprucespool.transport.pool import ENDS, Broken, Heard, Pool, PoolCall, Unconnected
+from sprucespool.transport.pool import FINAL_EVENTS, Broken, CallEvent, Pool, PoolCall, Unconnected
 from sprucespool.wire import inference_pb2 as oip
 from sprucespool.wire import names, outcomes
 
@@ -59,8 +59,8 @@
             connections=told.day.clients.connections,
             connect_timeout=500.0,
             waiting=10_000,
-            first_backoff=20.0,
-            last_backoff=300.0,
+            initial_backoff=20.0,
+            max_backoff=300.0,
         )
         self.pools = [Pool(*address(where), Limits(), limits, n) for n, where in enumerate(told.controllers)]
         self.turn = itertools.count()
@@ -137,12 +137,12 @@
         if one.timer is not None:
             one.timer.cancel()
 
-    def _heard(self, one: _Try, event: Heard):
+    def _heard(self, one: _Try, event: CallEvent):
         if isinstance(event, Message):
             if one.call is not None:
                 one.call.consumed(event.size)
             return
-        if not isinstance(event, ENDS) or one.over:
+        if not isinstance(event, FINAL_EVENTS) or one.over:
             return
         now, group = now_ms(), self.groups[one.plan.group]
         status, never, wait = None, False, self.day.clients.wait
--- a/sprucespool/standin/invoker.py
+++ b/sprucespool/standin/invoker.py
@@ -37,7 +37,7 @@
 from sprucespool.standin.trace import Notes, now_ms
 from sprucespool.transport.listener import Listener, Server, ServerCall, unary
 from sprucespool.transport.plan import PoolLimits
-from sprucespool.transport.pool import ENDS, Heard, Pool
+from sprucespool.transport.pool import FINAL_EVENTS, CallEvent, Pool
 from sprucespool.wire import inference_pb2 as oip
 from sprucespool.wire import names, outcomes
 from sprucespool.wire import platform_pb2 as platform
@@ -240,7 +240,7 @@
         key = told.parameters.get("dedup_key", "")
         job = Job(held, told.model, work, key if isinstance(key, str) else "")
         self.held[job] = held
-        call.on_gone = lambda: self._gone(job)
+        call.on_cancelled = lambda: self._gone(job)
         refusing = self._on("refuse")
         if refusing:
             self.worker._weigh(now, work)
@@ -383,10 +383,10 @@
             self.loop.call_later(load.info.fetch / 1000.0, self._fetched, load, True)
             return
 
-        def heard(event: Heard):
+        def heard(event: CallEvent):
             if isinstance(event, Message):
                 call.consumed(event.size)
-            elif isinstance(event, ENDS):
+            elif isinstance(event, FINAL_EVENTS):
                 self._fetched(load, isinstance(event, Answered) and event.status is Status.OK)
 
         request = platform.FetchRequest(model=load.model, invoker=self.name).SerializeToString()
--- a/sprucespool/standin/platform.py
+++ b/sprucespool/standin/platform.py
@@ -105,7 +105,7 @@
         if self.down:
             return call.finish(Status.UNAVAILABLE, "the roster is down")
         self.watchers[call] = outcomes.controller(call.metadata)
-        call.on_gone = lambda: self._gone(call)
+        call.on_cancelled = lambda: self._gone(call)
         self._send(call, platform.RosterNews.REPLACE, list(self.listed.values()))
 
     def _gone(self, call: ServerCall):
@@ -164,7 +164,7 @@
             self.notes.write(seen.Count(now_ms(), "turned away", 1))
             call.finish(Status.RESOURCE_EXHAUSTED, "too many fetches")
         else:
-            call.on_gone = lambda: self.library.give_up(fetch)
+            call.on_cancelled = lambda: self.library.give_up(fetch)
         self._arm()
 
     def _advance(self):
--- a/sprucespool/standin/watching.py
+++ b/sprucespool/standin/watching.py
@@ -14,7 +14,7 @@
 from sprucespool.judge import group as seen
 from sprucespool.standin.trace import now_ms
 from sprucespool.transport.plan import PoolLimits
-from sprucespool.transport.pool import Heard, Pool
+from sprucespool.transport.pool import CallEvent, Pool
 from sprucespool.wire import names
 from sprucespool.wire import platform_pb2 as platform
 
@@ -91,7 +91,7 @@
             host,
             int(port),
             Limits(message=2**22),
-            PoolLimits(connections=1, connect_timeout=1_000.0, first_backoff=20.0, last_backoff=200.0),
+            PoolLimits(connections=1, connect_timeout=1_000.0, initial_backoff=20.0, max_backoff=200.0),
             1,
         )
 
@@ -116,7 +116,7 @@
     def _ask(self, name: str, pool: Pool, path: str, tell: Callable[[float, str, bytes], None]):
         asked = now_ms()
 
-        def heard(event: Heard):
+        def heard(event: CallEvent):
             if isinstance(event, Message):
                 call.consumed(event.size)
                 if self.pools.get(name) is pool:
--- a/sprucespool/transport/acceptor.py
+++ b/sprucespool/transport/acceptor.py
@@ -28,9 +28,14 @@
         factory: Callable[[float], asyncio.BaseProtocol],
         backlog: int,
         exhausted: Callable[[OSError], None],
-        unread: Callable[[], float] = lambda: 0.0,
+        possible_wait_ms: Callable[[], float] = lambda: 0.0,
     ):
-        self.factory, self.backlog, self.exhausted, self.unread = factory, backlog, exhausted, unread
+        self.factory, self.backlog, self.exhausted, self.possible_wait_ms = (
+            factory,
+            backlog,
+            exhausted,
+            possible_wait_ms,
+        )
         self.loop = asyncio.get_running_loop()
         self.listeners: list[socket.socket] = []
         self.closed = False
@@ -69,7 +74,7 @@
 
     def _accept(self, listener: socket.socket):
         held, self._held_since = self._held_since, None
-        waited = max(self.unread(), (self.loop.time() - held) * 1000.0 if held is not None else 0.0)
+        waited = max(self.possible_wait_ms(), (self.loop.time() - held) * 1000.0 if held is not None else 0.0)
         failures = 0
         for _ in range(self.backlog):
             try:
--- a/sprucespool/transport/errors.py
+++ b/sprucespool/transport/errors.py
@@ -7,6 +7,6 @@
 # A limit of this process or machine was met: nothing is wrong with the peer.
 EXHAUSTED = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 # Those, and what Linux reports of an address or a route that is missing for a moment.
-PASSING_ERRORS = EXHAUSTED | {errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENETDOWN, errno.EAGAIN, errno.EINTR}
+TRANSIENT_ERRORS = EXHAUSTED | {errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENETDOWN, errno.EAGAIN, errno.EINTR}
 # Seconds before a call that failed in such a way is tried again.
-PASSING_PAUSE = 0.02
+TRANSIENT_RETRY_SECONDS = 0.02
--- a/sprucespool/transport/turn.py
+++ b/sprucespool/transport/input_batcher.py
@@ -14,11 +14,11 @@
 OTHER_INPUTS = 3
 
 
-class Turn:
+class InputBatcher:
     """`take` gets what was told within one turn, with its time; `after` is called when it was taken."""
 
-    def __init__(self, take: Callable[[float, list[ms.Input]], None], after: Callable[[], None]):
-        self.take, self.after = take, after
+    def __init__(self, on_batch: Callable[[float, list[ms.Input]], None], after_batch: Callable[[], None]):
+        self.on_batch, self.after_batch = on_batch, after_batch
         self.loop = asyncio.get_running_loop()
         self.pace = LoopPace(self.loop)
         self.inputs: list[ms.Input] = []
@@ -35,7 +35,7 @@
     def now(self) -> float:
         return self.loop.time() * 1000.0
 
-    def tell(self, given: ms.Input) -> None:
+    def add(self, given: ms.Input) -> None:
         """Inputs of one turn of the loop go in together: the module looks at what waits once a batch."""
         if self.closed:
             return
@@ -52,7 +52,7 @@
         """After a stall the decisions wait for what came meanwhile: cancellations, drains, answers."""
         if not self._postponed:
             self._postponed_since = self.loop.time()
-        patient = self.pace.patient(self._postponed, self._postponed_since)
+        patient = self.pace.may_wait_more(self._postponed, self._postponed_since)
         if not self.closed and patient and not self.pace.settled(self._planned_at):
             self._postponed += 1
             self._plan()
@@ -74,8 +74,8 @@
             return
         inputs, self.inputs = self.inputs, []
         inputs.sort(key=lambda given: FIRST_INPUTS.get(type(given), OTHER_INPUTS))
-        self.take(self.now(), inputs)
-        self.after()
+        self.on_batch(self.now(), inputs)
+        self.after_batch()
 
     def wake_at(self, at: float) -> None:
         if self.wake is not None:
@@ -84,7 +84,7 @@
 
     def _woke(self):
         self.wake = None
-        self.tell(ms.Woke())
+        self.add(ms.Woke())
 
     def close(self) -> None:
         self.closed = True
--- a/sprucespool/transport/listener.py
+++ b/sprucespool/transport/listener.py
@@ -32,8 +32,12 @@
 
 
 class ServerCall:
-    """One call as its method sees it. Set `on_message`, `on_closed` (the client is done sending), `on_gone` (the client
-    gave up or its connection went), `on_drained`; then `send` and one `finish`."""
+    """One call as seen by the method that serves it.
+
+    The method sets the callbacks `on_message`, `on_half_closed` (the client has finished sending), `on_cancelled` (the
+    client cancelled the call or its connection was lost) and `on_drained`, then calls `send` any number of times and
+    `finish` once.
+    """
 
     __slots__ = (
         "wire",
@@ -43,8 +47,8 @@
         "timeout",
         "began",
         "on_message",
-        "on_closed",
-        "on_gone",
+        "on_half_closed",
+        "on_cancelled",
         "on_drained",
         "over",
         "peer",
@@ -57,8 +61,8 @@
         self.wire, self.stream, self.path = wire, began.stream, began.path
         self.metadata, self.timeout, self.began, self.peer = began.metadata, began.timeout, now, peer
         self.on_message: Callable[[bytes, int], None] = lambda data, size: None
-        self.on_closed: Callable[[], None] = lambda: None
-        self.on_gone: Callable[[], None] = lambda: None
+        self.on_half_closed: Callable[[], None] = lambda: None
+        self.on_cancelled: Callable[[], None] = lambda: None
         self.on_drained: Callable[[], None] = lambda: None
         self.over = False
 
@@ -128,7 +132,7 @@
             else:
                 call.finish(Status.INVALID_ARGUMENT, "expected one message, got none")
 
-        call.on_message, call.on_closed = message, closed
+        call.on_message, call.on_half_closed = message, closed
 
     return method
 
@@ -140,7 +144,7 @@
         self.listener, self.waited = listener, waited
         self.calls: dict[int, ServerCall] = {}
         self.wire = Wire(ServerLink(listener.limits, listener.ledger), self._events, self._lost, self._made)
-        self.name, self.heard_any, self.pinged = "?", False, 0.0
+        self.name, self.received_any, self.pinged = "?", False, 0.0
 
     @property
     def link(self) -> ServerLink:
@@ -166,11 +170,11 @@
         self.listener.accepted += 1
 
     def _events(self, wire: Wire, events: list[Event]):
-        waited = self.waited + wire.heard - wire.opened if self.waited else 0.0
-        self.waited, self.heard_any = 0.0, True
+        waited = self.waited + wire.last_received_at - wire.opened if self.waited else 0.0
+        self.waited, self.received_any = 0.0, True
         for event in events:
             if isinstance(event, Began):
-                call = ServerCall(wire, event, wire.heard, self.name, waited)
+                call = ServerCall(wire, event, wire.last_received_at, self.name, waited)
                 method = self.listener.methods.get(event.path)
                 if method is None:
                     self.listener.unknown(call)
@@ -197,7 +201,7 @@
                 call.on_message(event.data, event.size)
         elif isinstance(event, HalfClosed):
             if not call.over:
-                call.on_closed()
+                call.on_half_closed()
         elif isinstance(event, Drained):
             call.on_drained()
         elif isinstance(event, Reset):
@@ -207,7 +211,7 @@
     def _gone(self, call: ServerCall):
         if not call.over:
             call.over = True
-            call.on_gone()
+            call.on_cancelled()
 
     def _lost(self, wire: Wire, why: str):
         self.listener.peers.pop(self, None)
@@ -218,17 +222,17 @@
 
     def look(self, now: float):
         server, wire, link = self.listener.server, self.wire, self.link
-        if not self.heard_any and not link.highest and now - wire.opened > server.handshake and link._preface:
+        if not self.received_any and not link.highest and now - wire.opened > server.handshake and link._preface:
             return wire.end("no HTTP/2 preface in time", at_once=True)
         for event in link.sweep(max(1, int(server.unread / 1000.0 / LOOK_EVERY))):
             self._events(wire, [event])
-        if self.pinged and wire.heard < self.pinged:
+        if self.pinged and wire.last_received_at < self.pinged:
             if now - self.pinged > server.keepalive_timeout:
                 wire.end("a ping was not answered", at_once=True)
-        elif not link.streams and now - wire.heard > server.idle_close:
+        elif not link.streams and now - wire.last_received_at > server.idle_close:
             link.go_away(why="idle")
             wire.end("idle")
-        elif now - wire.heard > server.keepalive:
+        elif now - wire.last_received_at > server.keepalive:
             self.pinged = now
             link.ping()
         wire.flush_soon()
--- a/sprucespool/transport/opener.py
+++ b/sprucespool/transport/opener.py
@@ -6,7 +6,7 @@
 from collections import deque
 from typing import Generic, Protocol, TypeVar
 
-from sprucespool.transport.errors import PASSING_ERRORS, PASSING_PAUSE
+from sprucespool.transport.errors import TRANSIENT_ERRORS, TRANSIENT_RETRY_SECONDS
 from sprucespool.transport.pace import LoopPace
 from sprucespool.transport.plan import PoolLimits, PoolPlan, Slot
 from sprucespool.transport.wire import Wire
@@ -65,11 +65,11 @@
         if not self.closed:
             self.place_waiting()
 
-    def unconnected(self, call: Call, why: str) -> None:
+    def fail_unconnected(self, call: Call, why: str) -> None:
         """No connection was had for the call: end it."""
         raise NotImplementedError
 
-    def not_connected(self, why: str) -> None:
+    def on_connect_failed(self, why: str) -> None:
         """For the log."""
 
     def now(self) -> float:
@@ -93,17 +93,17 @@
             why = f"{type(problem).__name__}: {problem}"
             self.plan.slots.remove(slot)
             self.plan.backoff.failed(self.now())
-            self.not_connected(why)
+            self.on_connect_failed(why)
             if not any(not other.ready for other in self.plan.slots):
                 left, self.waiting = list(self.waiting), deque()
                 for call in left:
-                    self.unconnected(call, why)
+                    self.fail_unconnected(call, why)
             return
         if self.closed or conn.wire.lost:
             if slot in self.plan.slots:
                 self.plan.slots.remove(slot)
             return conn.wire.end("closed")
-        self.plan.backoff.worked()
+        self.plan.backoff.succeeded()
         self.conns[slot] = conn
         slot.ready, slot.idle_since = True, self.now()
         conn.note()
@@ -119,9 +119,9 @@
                 )
                 return
             except OSError as problem:
-                if problem.errno not in PASSING_ERRORS:
+                if problem.errno not in TRANSIENT_ERRORS:
                     raise
-            await asyncio.sleep(PASSING_PAUSE)
+            await asyncio.sleep(TRANSIENT_RETRY_SECONDS)
 
     def cancel_tasks(self) -> None:
         """Of one that is closed."""
--- a/sprucespool/transport/pace.py
+++ b/sprucespool/transport/pace.py
@@ -67,24 +67,24 @@
         """Whether the loop stands still at this moment: what was decided in this turn may be old."""
         return self._lateness() > STALL
 
-    def patient(self, rounds: int, since: float) -> bool:
+    def may_wait_more(self, rounds: int, since: float) -> bool:
         """Whether one more round may be waited for, after so many since `since` (loop time, seconds)."""
         return rounds < MOST_ROUNDS or rounds < MOST_QUICK_ROUNDS and self.loop.time() - since < QUICK
 
-    def unread(self) -> float:
+    def possible_wait_ms(self) -> float:
         """How long what is read now may have waited unread, at the most."""
         late = self._lateness()
         if late <= STALL and self.loop.time() - self._stall_ended < AFTERMATH:
             late = self._stalled_for
         return late * 1000.0 if late > STALL else 0.0
 
-    def unread_on(self, waited: float) -> float:
+    def possible_wait_on_connection_ms(self, waited: float) -> float:
         """As `unread`, of a request on a connection that waited so long to be accepted.
 
         Where it may have waited its client may have left meanwhile: nothing is settled before the end of its
         connection, which is read behind it, would have been.
         """
-        waited = max(waited, self.unread())
+        waited = max(waited, self.possible_wait_ms())
         if waited > 0.0:
             self._unsettle()
         return waited
@@ -102,7 +102,7 @@
     async def settle(self) -> None:
         """Wait until the sockets were polled without a stall."""
         began, rounds = self.loop.time(), 0
-        while self.patient(rounds, began):
+        while self.may_wait_more(rounds, began):
             since = self.loop.time()
             await asyncio.sleep(0)
             if self.settled(since):
--- a/sprucespool/transport/pool.py
+++ b/sprucespool/transport/pool.py
@@ -29,16 +29,19 @@
     why: str
 
 
-Heard = Message | Answered | Reset | Drained | Unconnected | Broken
+CallEvent = Message | Answered | Reset | Drained | Unconnected | Broken
 # Nothing is written ahead of what the system takes: what waits here can still be withdrawn.
 HIGH_WATER = 0
 # Seconds for which a call that was taken back may be left half written.
 UNWRITTEN = 0.05
-ENDS = (Answered, Reset, Unconnected, Broken)
+FINAL_EVENTS = (Answered, Reset, Unconnected, Broken)
 
 
 class PoolCall:
-    """One call of a client. `heard` gets its events; the last is one of ENDS, exactly one. After `cancel`, none."""
+    """One call to the address of the pool.
+
+    `heard` receives the events of the call. Exactly one of FINAL_EVENTS is the last; after `cancel` there are none.
+    """
 
     __slots__ = ("pool", "path", "metadata", "until", "messages", "heard", "conn", "stream", "begun_at", "over")
 
@@ -49,7 +52,7 @@
         metadata: Metadata,
         until: float | None,
         message: bytes,
-        heard: Callable[[Heard], None],
+        heard: Callable[[CallEvent], None],
     ):
         self.pool, self.path, self.metadata, self.until = pool, path, metadata, until
         self.messages, self.heard = message, heard
@@ -75,9 +78,9 @@
             self.conn.link.consumed(self.stream, size)
             self.conn.wire.flush_soon()
 
-    def end(self, event: Heard) -> None:
+    def end(self, event: CallEvent) -> None:
         if not self.over:
-            self.over = isinstance(event, ENDS)
+            self.over = isinstance(event, FINAL_EVENTS)
             self.heard(event)
 
 
@@ -117,12 +120,16 @@
             self.wire.end("a call taken back is still unwritten", at_once=True)
 
     def _paused(self, wire: Wire):
-        self.slot.held = wire.paused
+        self.slot.write_blocked = wire.paused
         if not wire.paused and self.slot.ready:
             self.pool.place_soon()
 
     def note(self):
-        self.slot.room, self.slot.open_calls, self.slot.heard = self.link.room, len(self.calls), self.wire.heard
+        self.slot.room, self.slot.open_calls, self.slot.last_received_at = (
+            self.link.room,
+            len(self.calls),
+            self.wire.last_received_at,
+        )
         if not self.calls:
             self.slot.idle_since = self.pool.now()
 
@@ -133,11 +140,11 @@
     def _events(self, wire: Wire, events: list[Event]):
         for event in events:
             if isinstance(event, GoingAway):
-                self.slot.room, self.slot.leaving = 0, True
+                self.slot.room, self.slot.closing = 0, True
             elif isinstance(event, Ponged):
-                self.slot.pinged = None
+                self.slot.pinged_at = None
             elif (call := self.calls.get(event.stream)) is not None:
-                if isinstance(event, ENDS):
+                if isinstance(event, FINAL_EVENTS):
                     del self.calls[event.stream]
                 call.end(event)  # type: ignore[arg-type]
         self.note()
@@ -171,11 +178,11 @@
     def connection(self, slot: Slot) -> _Conn:
         return _Conn(self, slot)
 
-    def unconnected(self, call: PoolCall, why: str) -> None:
+    def fail_unconnected(self, call: PoolCall, why: str) -> None:
         call.end(Unconnected(why))
 
     def call(
-        self, path: str, metadata: Metadata, timeout: float | None, message: bytes, heard: Callable[[Heard], None]
+        self, path: str, metadata: Metadata, timeout: float | None, message: bytes, heard: Callable[[CallEvent], None]
     ) -> PoolCall:
         """Send one message and hear what comes back; `timeout` in ms goes along as grpc-timeout."""
         now = self.now()
@@ -210,13 +217,13 @@
             now = self.now()
             if call.until is not None and call.until <= now:
                 self.waiting.popleft()
-                self.unconnected(call, "its time was up before it could leave")
+                self.fail_unconnected(call, "its time was up before it could leave")
                 continue
             slot, opens, why = self.plan.place(now, 0)
             if slot is None:
                 if why:
                     self.waiting.popleft()
-                    self.unconnected(call, why)
+                    self.fail_unconnected(call, why)
                     continue
                 if opens:
                     self.open()
@@ -224,21 +231,21 @@
             self.waiting.popleft()
             self.conns[slot].begin(call, now)
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Called now and then: idle connections close, silent ones are asked, dead ones given up."""
         now = self.now()
         for conn in list(self.conns.values()):
-            conn.slot.heard = conn.wire.heard
+            conn.slot.last_received_at = conn.wire.last_received_at
             for event in conn.link.sweep(20):
                 conn._events(conn.wire, [event])
-        idle, ping, dead = self.plan.look(now)
+        idle, ping, dead = self.plan.check(now)
         for slot in dead:
             self.conns[slot].wire.end("a ping was not answered", at_once=True)
         for slot in idle:
             self.conns[slot].link.go_away()
             self.conns[slot].wire.end("idle")
         for slot in ping:
-            slot.pinged = now
+            slot.pinged_at = now
             self.conns[slot].link.ping()
             self.conns[slot].wire.flush_soon()
 
--- a/sprucespool/transport/wire.py
+++ b/sprucespool/transport/wire.py
@@ -48,10 +48,10 @@
         self._read_buffer = read_buffer()
         self.transport: asyncio.Transport | None = None
         self.paused, self.scheduled, self.lost = False, False, False
-        self.opened = self.heard = self.loop.time() * 1000.0
+        self.opened = self.last_received_at = self.loop.time() * 1000.0
         self.why = ""
         # Whether it was ended from this side.
-        self.ended_here = False
+        self.ended_locally = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -67,9 +67,9 @@
     def buffer_updated(self, nbytes: int) -> None:
         if self.lost:
             return
-        self.heard = self.loop.time() * 1000.0
+        self.last_received_at = self.loop.time() * 1000.0
         try:
-            events = self.link.receive(self._read_buffer[:nbytes], self.heard)
+            events = self.link.receive(self._read_buffer[:nbytes], self.last_received_at)
         except LinkError as problem:
             return self.end(str(problem))
         if events:
@@ -141,7 +141,7 @@
         """Write what is left to say and close; `at_once` drops it."""
         if self.lost:
             return
-        self.why, self.ended_here = why, True
+        self.why, self.ended_locally = why, True
         if self.transport is not None:
             if at_once:
                 self.transport.abort()
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -4,8 +4,8 @@
 
 from sprucespool.adapter.door import deployment
 from sprucespool.adapter.wire import Settings
-from sprucespool.relay.configuration import flat
-from sprucespool.relay.frames import written
+from sprucespool.relay.configuration import flatten
+from sprucespool.relay.frames import encode_fields
 
 SETTINGS = {
     "balancers": 1,
@@ -74,7 +74,7 @@
     },
     "feedback": {"source": "pull", "fields": ["util", "x1"]},
 }
-DEPLOYMENT = deployment(Settings(flat(SETTINGS)))
+DEPLOYMENT = deployment(Settings(flatten(SETTINGS)))
 REQUEST = {
     "class": "call",
     "id": "9b1f03aa5c7e2d41",
@@ -110,4 +110,4 @@
 
 
 def asked(stream, body=b"", **change):
-    return frame(16, stream, written({**REQUEST, **change}) + body)
+    return frame(16, stream, encode_fields({**REQUEST, **change}) + body)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -145,7 +145,7 @@
             await until(lambda: door.out)
             # The door knows that the client has left; the gateway is told only when the test lets it be.
             held_back = []
-            monkeypatch.setattr(door.turn, "tell", held_back.append)
+            monkeypatch.setattr(door.turn, "add", held_back.append)
             client.close()
             await until(lambda: held_back)
             await world.invokers[0].accept_now()
@@ -625,7 +625,7 @@
     door.pools = {
         name: SimpleNamespace(withdraw_waiting=lambda why, name=name: withdrawn.append(name)) for name in "abc"
     }
-    door.turn = SimpleNamespace(tell=lambda given: None)
+    door.turn = SimpleNamespace(add=lambda given: None)
     door.tell(ms.Roster("update", 1, [ms.Row("a", status="draining"), ms.Row("b"), ms.Row("x", status="gone")]))
     assert withdrawn == ["a"]
     door.tell(ms.Roster("replace", 2, [ms.Row("b")]))
--- a/tests/test_discovery_outage.py
+++ b/tests/test_discovery_outage.py
@@ -290,8 +290,8 @@
     async def scene():
         async with Scene(InvokerStandIn(hit)) as world:
             told = []
-            take = world.node.door.turn.take
-            world.node.door.turn.take = lambda now, inputs: (told.extend(inputs), take(now, inputs))
+            take = world.node.door.turn.on_batch
+            world.node.door.turn.on_batch = lambda now, inputs: (told.extend(inputs), take(now, inputs))
             await world.warmed()
             world.node.door.invokers["s-0"].close_idle()
             await asyncio.sleep(0.1)
--- a/tests/test_group_sockets.py
+++ b/tests/test_group_sockets.py
@@ -163,7 +163,7 @@
     from sprucespool.grpc.status import Limits
     from sprucespool.membership import Codec, Message, Row
     from sprucespool.transport.plan import PoolLimits
-    from sprucespool.transport.pool import ENDS, Pool
+    from sprucespool.transport.pool import FINAL_EVENTS, Pool
     from sprucespool.wire import names as paths
     from sprucespool.wire import platform_pb2 as platform
 
@@ -185,7 +185,7 @@
                 {},
                 2_000.0,
                 platform.MemberMessage(message=data).SerializeToString(),
-                lambda event: ends.append(event) if isinstance(event, ENDS) else None,
+                lambda event: ends.append(event) if isinstance(event, FINAL_EVENTS) else None,
             )
         assert await rig.until(lambda: len(ends) == 5, 20.0) is not None
         assert {getattr(end, "status", None) and end.status.name for end in ends} == {"INVALID_ARGUMENT"}
@@ -202,7 +202,7 @@
     from sprucespool.membership import About, Codec, Message, Row, State
     from sprucespool.membership.codec import MOST_ROWS
     from sprucespool.transport.plan import PoolLimits
-    from sprucespool.transport.pool import ENDS, Pool
+    from sprucespool.transport.pool import FINAL_EVENTS, Pool
     from sprucespool.wire import names as paths
     from sprucespool.wire import platform_pb2 as platform
 
@@ -219,7 +219,7 @@
                     {},
                     5_000.0,
                     data,
-                    lambda event: ends.append(event) if isinstance(event, ENDS) else None,
+                    lambda event: ends.append(event) if isinstance(event, FINAL_EVENTS) else None,
                 )
                 assert await rig.until(lambda: len(ends) == len(sent), 20.0) is not None
 
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -30,7 +30,7 @@
 
 
 def test_a_connection_that_its_peer_ends_takes_no_place_of_another():
-    leaving = Slot(True, 0, 1, leaving=True)
+    leaving = Slot(True, 0, 1, closing=True)
     assert plan(leaving, connections=1).place(0.0, 0) == (None, True, "")
     assert plan(leaving, Slot(), connections=1).place(0.0, 1) == (None, False, "")
     lasting = Slot(True, 3, 0)
@@ -43,12 +43,12 @@
     assert found.place(101.0, 0)[2] and found.place(100.0 + found.backoff.pause, 0) == (None, True, "")
     found.slots.append(Slot(True, 3, 0))
     assert found.place(101.0, 0)[0] is found.slots[0]
-    found.backoff.worked()
-    assert not found.backoff.closed(101.0)
+    found.backoff.succeeded()
+    assert not found.backoff.active(101.0)
 
 
 def test_pauses_grow_to_their_limit_and_those_of_many_spread():
-    limits = PoolLimits(first_backoff=50.0, last_backoff=3000.0)
+    limits = PoolLimits(initial_backoff=50.0, max_backoff=3000.0)
     found = [Backoff(limits, seed) for seed in range(200)]
     for _ in range(12):
         for one in found:
@@ -75,8 +75,8 @@
     st.floats(1e5, 2e5),
 )
 def test_a_look_round_touches_no_connection_twice_and_none_with_calls_as_idle(slots, now):
-    idle, ping, dead = plan(*slots).look(now)
+    idle, ping, dead = plan(*slots).check(now)
     touched = [*idle, *ping, *dead]
     assert len(touched) == len(set(map(id, touched)))
     assert not any(slot.open_calls for slot in idle) and all(slot.open_calls for slot in ping)
-    assert all(slot.pinged is not None for slot in dead)
+    assert all(slot.pinged_at is not None for slot in dead)
--- a/tests/test_pool_crossings.py
+++ b/tests/test_pool_crossings.py
@@ -230,7 +230,7 @@
             old = list(pool.conns)
             peer.link.go_away()
             await peer.read(0.1)
-            await until(lambda: old[0].leaving)
+            await until(lambda: old[0].closing)
             pool.call("/a/Next", {}, 2_000.0, b"small", lambda event: None)
             first, peer.link = peer.connection, ServerLink(WIDE)
             await peer.accept()
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -13,7 +13,7 @@
 from sprucespool.relay import frames as fr
 from sprucespool.relay import lines as ln
 from sprucespool.relay.configuration import ConfigurationError, read
-from sprucespool.relay.feed import EntryError, FeedLink, Roster, Told
+from sprucespool.relay.feed import EntryError, FeedLink, Roster, ChannelEvent
 
 pytestmark = pytest.mark.sockets
 
@@ -38,19 +38,19 @@
         + b"\x12"
         + (2).to_bytes(4, "big")
     )
-    link = fr.FrontLink(fr.Terms(DEPLOYMENT))
+    link = fr.FrameLink(fr.RequestReader(DEPLOYMENT))
     events = [event for piece in pieces(data, cuts) for event in link.receive(piece, 0.0)]
-    assert [type(event) for event in events] == [fr.Request, fr.ReadyAsked, fr.Request, fr.TakenBack]
+    assert [type(event) for event in events] == [fr.Request, fr.ReadinessQuery, fr.Request, fr.Cancellation]
     assert events[0].body == body and events[0].model == "7f3a9c21e0b4d655" and events[0].lanes == 2
     assert link.open == {1}
 
 
 @given(st.binary(max_size=600), CUTS)
 def test_noise_from_a_client_never_raises_what_is_no_named_error(data, cuts):
-    link = fr.FrontLink(fr.Terms(DEPLOYMENT))
+    link = fr.FrameLink(fr.RequestReader(DEPLOYMENT))
     try:
         for piece in pieces(data, cuts):
-            assert all(isinstance(event, fr.TakenBack | fr.ReadyAsked) for event in link.receive(piece, 0.0))
+            assert all(isinstance(event, fr.Cancellation | fr.ReadinessQuery) for event in link.receive(piece, 0.0))
     except fr.FrameError:
         assert link.outgoing()[0][4] == fr.ANSWER
 
@@ -84,7 +84,7 @@
     ],
 )
 def test_fields_that_no_client_sends_end_the_connection_with_an_error_on_their_stream(change):
-    link = fr.FrontLink(fr.Terms(DEPLOYMENT))
+    link = fr.FrameLink(fr.RequestReader(DEPLOYMENT))
     with pytest.raises(fr.RequestError, match=f"expected .*{list(change)[0]}"):
         link.receive(asked(7, **change), 0.0)
     out = link.outgoing()[0]
@@ -101,11 +101,11 @@
         (5).to_bytes(4, "big") + b"\x12" + (9).to_bytes(4, "big"),
     ):
         with pytest.raises(fr.FrameError):
-            fr.FrontLink(fr.Terms(DEPLOYMENT)).receive(data, 0.0)
+            fr.FrameLink(fr.RequestReader(DEPLOYMENT)).receive(data, 0.0)
 
 
 def test_answers_once_each_and_shed_names_the_time():
-    link = fr.FrontLink(fr.Terms(DEPLOYMENT))
+    link = fr.FrameLink(fr.RequestReader(DEPLOYMENT))
     link.receive(asked(1) + asked(2, id="d" * 16), 0.0)
     link.shed(1, 120.2)
     link.returned(2, b"\x00\xff")
@@ -135,7 +135,7 @@
     answers = [answer for piece in pieces(data, cuts) for answer in link.receive(piece, 0.0)]
     assert [(a.tag, a.outcome) for a in answers] == [("9b1f03aa5c7e2d41", it.Outcome.RETURNED), ("o1", it.Outcome.FULL)]
     assert answers[0].body == body and answers[0].found is it.Found.AWAITED_LOAD and answers[0].same_model == 3
-    assert answers[0].report == {"util": 0.5, "x1": 2.0} and answers[1].standing == 1 and link.skipped == 2
+    assert answers[0].report == {"util": 0.5, "x1": 2.0} and answers[1].loaded_copies == 1 and link.skipped == 2
 
 
 @given(st.binary(max_size=400), CUTS)
@@ -163,7 +163,7 @@
     run(link)
     link.probe("p1", True)
     answers = link.receive(b"p1 PONG meter=util:0.1 0\r\n\r\n" + noise, 0.0)
-    assert [answer.tag for answer in answers] == ["p1"] and link.spoilt
+    assert [answer.tag for answer in answers] == ["p1"] and link.read_error
     fresh = ln.InvokerLink(lambda: 0.0)
     run(fresh)
     with pytest.raises(ln.LineError):
@@ -209,16 +209,18 @@
     link = FeedLink("127.0.0.1:1", 3)
     assert b"GET /cmd/next HTTP/1.1\r\n" in (out := link.outgoing()[0]) and b"Last-Event-ID: 3\r\n" in out
     told = [told for piece in pieces(data, cuts) for told in link.receive(piece, 0.0)]
-    assert told == [Told(4, b'{"a":\n1}'), Told(5, b"{}")]
+    assert told == [ChannelEvent(4, b'{"a":\n1}'), ChannelEvent(5, b"{}")]
 
 
 def test_repeated_events_count_once_gaps_are_asked_for_and_bad_ones_leave_the_rest():
     roster = Roster()
-    news = roster.known(2, [event(1, True, host(), host("s-2")), event(2, False, host("s-2", health="draining"))], 0.0)
+    news = roster.restore(
+        2, [event(1, True, host(), host("s-2")), event(2, False, host("s-2", health="draining"))], 0.0
+    )
     assert [n.kind for n in news] == ["restored", "replace", "update"] and set(roster.places) == {"s-1", "s-2"}
 
     def told(*args):
-        return roster.told(Told(args[0], json.dumps(event(*args)).encode()), 5_000.0)
+        return roster.apply(ChannelEvent(args[0], json.dumps(event(*args)).encode()), 5_000.0)
 
     assert told(2, False, host("s-9")) == [] and told(4, False, host("s-9")) is None and roster.last == 2
     with pytest.raises(EntryError, match="event 3: expected health"):
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -13,7 +13,7 @@
 
 from sprucespool.transport.clock import AnchoredClock
 from sprucespool.node.serve import start_patiently
-from sprucespool.relay.feed import LATEST_NEWS, Roster, Told
+from sprucespool.relay.feed import MAX_START_REPORT_DELAY_MS, Roster, ChannelEvent
 from sprucespool.transport.acceptor import Acceptor
 
 pytestmark = pytest.mark.sockets
@@ -218,7 +218,7 @@
 
 def told(number, born, whole=False, name="s-1"):
     data = event(number, (name, 9, "up"), whole=whole, born=born)
-    return Told(number, data.split(b"data: ")[1].strip())
+    return ChannelEvent(number, data.split(b"data: ")[1].strip())
 
 
 @pytest.mark.parametrize("ahead", [-HOUR, HOUR, 0.0])
@@ -226,19 +226,19 @@
     true, roster = 1e12, Roster()
     own = true + ahead * 1000.0
     hosts = entry(1, ("s-1", 9, "up"), whole=True, born=int(true - 4_000))
-    [_, news] = roster.known(1, [hosts], own)
+    [_, news] = roster.restore(1, [hosts], own)
     assert 0 <= news.rows[0].age <= 4_000
     # Told later of one that is just born: it was in no list before.
-    [news] = roster.told(told(2, int(true + 9_000), name="s-2"), own + 10_000)
+    [news] = roster.apply(told(2, int(true + 9_000), name="s-2"), own + 10_000)
     assert 0 <= news.rows[0].age <= 1_000 + (4_000 if ahead else 0)
 
 
 def test_an_invoker_told_late_of_is_no_older_than_it_can_be():
     roster = Roster()
-    roster.known(1, [], 1e12)
-    [news] = roster.told(told(2, int(1e12 - HOUR * 1000.0), whole=True), 1e12 + 2_000)
+    roster.restore(1, [], 1e12)
+    [news] = roster.apply(told(2, int(1e12 - HOUR * 1000.0), whole=True), 1e12 + 2_000)
     assert news.rows[0].age == 0.0
     roster = Roster()
-    roster.known(1, [], 1e12)
-    [news] = roster.told(told(2, int(1e12 - 3_000)), 1e12 + 2_000)
-    assert news.rows[0].age == 5_000 < LATEST_NEWS
+    roster.restore(1, [], 1e12)
+    [news] = roster.apply(told(2, int(1e12 - 3_000)), 1e12 + 2_000)
+    assert news.rows[0].age == 5_000 < MAX_START_REPORT_DELAY_MS
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -16,7 +16,7 @@
 from sprucespool import interface as it
 from sprucespool.node.door import Door
 from sprucespool.relay import lines
-from sprucespool.relay.frames import FrontLink
+from sprucespool.relay.frames import FrameLink
 
 pytestmark = pytest.mark.sockets
 
@@ -74,11 +74,11 @@
 
 
 def test_a_controller_that_loses_an_answer_is_told(tmp_path, monkeypatch):
-    honest = FrontLink.returned
+    honest = FrameLink.returned
 
     def forgetful(link, stream, body):
         if stream % 10 != 7:
             honest(link, stream, body)
 
-    monkeypatch.setattr(FrontLink, "returned", forgetful)
+    monkeypatch.setattr(FrameLink, "returned", forgetful)
     assert "1" in broken_rules(tmp_path, [])
