--- a/sprucespool/standin/invoker.py
+++ b/sprucespool/standin/invoker.py
@@ -297,7 +297,7 @@
                     wire._flush()
                     wire.transport.write(b"\x00\x00\x40\x00\x00" + held.call.stream.to_bytes(4, "big") + b"\0" * 7)
                     wire.transport.close()
-                    wire._gone("half a frame")
+                    wire._report_lost("half a frame")
             return
         held = self.held.get(job)
         if held is None or held.over:
--- a/sprucespool/transport/__init__.py
+++ b/sprucespool/transport/__init__.py
@@ -1,4 +1,5 @@
 """TCP on `asyncio.BufferedProtocol`: buffers, back-pressure, listening, and pools of connections to invokers.
 
-The names are in the modules: `wire`, `turn`, `plan` and `opener` stand alone, `listener` and `pool` bring gRPC along.
+Import the names from the modules: `wire`, `input_batcher`, `plan` and `opener` do not depend on gRPC, `listener` and
+`pool` do.
 """
--- a/sprucespool/transport/acceptor.py
+++ b/sprucespool/transport/acceptor.py
@@ -1,4 +1,4 @@
-"""Accepts connections on listening sockets, whatever `accept` fails with."""
+"""Accepts connections on listening sockets and survives every failure of `accept`."""
 
 from __future__ import annotations
 
@@ -6,54 +6,55 @@
 import socket
 from collections.abc import Callable
 
-from sprucespool.transport.errors import EXHAUSTED
+from sprucespool.transport.errors import RESOURCE_ERRORS
 
-# Seconds between tries while the system has no descriptor or memory for a connection: doubled from one to the other.
-FIRST_PAUSE, LAST_PAUSE = 0.01, 0.1
-# Seconds in which a connection that was accepted is usually handed over.
-USUAL = 0.02
-# Other failures belong to the one connection that was to be accepted; so many in a row are a lasting trouble.
-MOST_FAILURES = 16
+# Pause while the system has no descriptor or memory for a connection; doubled after each try up to the maximum.
+INITIAL_PAUSE_SECONDS, MAX_PAUSE_SECONDS = 0.01, 0.1
+# An accepted connection is usually handed to its protocol within this time.
+USUAL_HAND_OVER_SECONDS = 0.02
+# Other errors concern only the connection being accepted; this many in one pass are treated as a lasting failure.
+MAX_CONSECUTIVE_FAILURES = 16
 
 
 class Acceptor:
-    """Hands each accepted connection to the protocol that `factory(waited)` makes.
+    """Hands each accepted connection to the protocol that `factory(waited)` creates.
 
-    `waited` is how long (ms) the connection may have waited to be accepted, beyond the usual. `exhausted` is told when
-    the system has no room for a connection. `unread` gives how long (ms) what comes now may have waited for the loop.
+    `waited` is how long (ms) the connection may have waited to be accepted, or 0 if that is no longer than usual.
+    `on_exhausted` is called when the system has no resources for a connection. `possible_wait_ms` returns how long (ms)
+    input that arrives now may have waited for the event loop.
     """
 
     def __init__(
         self,
         factory: Callable[[float], asyncio.BaseProtocol],
         backlog: int,
-        exhausted: Callable[[OSError], None],
+        on_exhausted: Callable[[OSError], None],
         possible_wait_ms: Callable[[], float] = lambda: 0.0,
     ):
-        self.factory, self.backlog, self.exhausted, self.possible_wait_ms = (
+        self.factory, self.backlog, self.on_exhausted, self.possible_wait_ms = (
             factory,
             backlog,
-            exhausted,
+            on_exhausted,
             possible_wait_ms,
         )
         self.loop = asyncio.get_running_loop()
         self.listeners: list[socket.socket] = []
         self.closed = False
         self._tasks: set[asyncio.Task] = set()
-        self._pause = FIRST_PAUSE
+        self._pause = INITIAL_PAUSE_SECONDS
         self._resume: asyncio.TimerHandle | None = None
-        # Since when connections may wait without being accepted; None while they are accepted as they come.
-        self._held_since: float | None = None
+        # Since when accepting is paused; None while connections are accepted on arrival.
+        self._paused_since: float | None = None
 
     async def start(self, host: str, port: int) -> int:
-        """Listen; gives the port (0 asks for any). Raises OSError where the address can't be had."""
+        """Start listening and return the port (port 0 requests any). Raises OSError if the address is not available."""
         kind, flags = socket.SOCK_STREAM, socket.AI_PASSIVE
         try:
-            found = socket.getaddrinfo(host, port, type=kind, flags=flags | socket.AI_NUMERICHOST)
+            addresses = socket.getaddrinfo(host, port, type=kind, flags=flags | socket.AI_NUMERICHOST)
         except socket.gaierror:
-            found = await self.loop.getaddrinfo(host, port, type=kind, flags=flags)
+            addresses = await self.loop.getaddrinfo(host, port, type=kind, flags=flags)
         try:
-            for family, kind, protocol, _, address in dict.fromkeys(found):
+            for family, kind, protocol, _, address in dict.fromkeys(addresses):
                 self._listen(family, kind, protocol, address)
         except OSError:
             self._close_listeners()
@@ -73,60 +74,66 @@
         listener.listen(self.backlog)
 
     def _accept(self, listener: socket.socket):
-        held, self._held_since = self._held_since, None
-        waited = max(self.possible_wait_ms(), (self.loop.time() - held) * 1000.0 if held is not None else 0.0)
+        paused_since, self._paused_since = self._paused_since, None
+        waited = max(
+            self.possible_wait_ms(), (self.loop.time() - paused_since) * 1000.0 if paused_since is not None else 0.0
+        )
         failures = 0
         for _ in range(self.backlog):
             try:
                 connection, _ = listener.accept()
             except (BlockingIOError, InterruptedError):
                 return
-            except OSError as problem:
+            except OSError as error:
                 failures += 1
-                if problem.errno in EXHAUSTED or failures >= MOST_FAILURES:
-                    return self._hold(problem, held)
+                if error.errno in RESOURCE_ERRORS or failures >= MAX_CONSECUTIVE_FAILURES:
+                    return self._pause_accepting(error, paused_since)
                 continue
-            self._pause = FIRST_PAUSE
-            self._hand_over(connection, waited)
+            self._pause = INITIAL_PAUSE_SECONDS
+            self._start_serving(connection, waited)
 
-    def _hold(self, problem: OSError, held: float | None):
-        """Stop accepting for a moment: a listener that stays readable would spin the loop."""
-        self._held_since = held if held is not None else self.loop.time()
+    def _pause_accepting(self, error: OSError, paused_since: float | None):
+        """Pause accepting: a listener that stays readable would make the event loop spin."""
+        self._paused_since = paused_since if paused_since is not None else self.loop.time()
         for listener in self.listeners:
             self.loop.remove_reader(listener)
-        self._resume = self.loop.call_later(self._pause, self._go_on)
-        self._pause = min(LAST_PAUSE, 2 * self._pause)
-        self.exhausted(problem)
+        self._resume = self.loop.call_later(self._pause, self._resume_accepting)
+        self._pause = min(MAX_PAUSE_SECONDS, 2 * self._pause)
+        self.on_exhausted(error)
 
-    def _go_on(self):
+    def _resume_accepting(self):
         self._resume = None
         for listener in self.listeners:
             self.loop.add_reader(listener, self._accept, listener)
 
     def accept_waiting(self) -> None:
-        """Accept what waits now, ahead of the loop's next look."""
+        """Accept pending connections now, before the event loop polls the listeners again."""
         if self._resume is None and not self.closed:
             for listener in self.listeners:
                 self._accept(listener)
 
-    def _hand_over(self, connection: socket.socket, waited: float):
+    def _start_serving(self, connection: socket.socket, waited: float):
         connection.setblocking(False)
         task = self.loop.create_task(self._serve(connection, self.loop.time() - waited / 1000.0))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _serve(self, connection: socket.socket, since: float):
-        """`since`: when the connection may have begun to wait (loop time, seconds)."""
-        waited = (self.loop.time() - since) * 1000.0 if self.loop.time() - since > USUAL else 0.0
+    async def _serve(self, connection: socket.socket, waiting_since: float):
+        """`waiting_since`: when the connection may have begun to wait (loop time, seconds)."""
+        waited = (
+            (self.loop.time() - waiting_since) * 1000.0
+            if self.loop.time() - waiting_since > USUAL_HAND_OVER_SECONDS
+            else 0.0
+        )
         try:
             await self.loop.connect_accepted_socket(lambda: self.factory(waited), connection)
         except OSError:
-            # It broke before it was served: nothing was read of it.
+            # The connection broke before it was served; nothing was read from it.
             connection.close()
 
     @property
     def busy(self) -> bool:
-        """Whether an accepted connection has not been handed over yet."""
+        """Whether an accepted connection has not been handed to its protocol yet."""
         return bool(self._tasks)
 
     def _close_listeners(self):
--- a/sprucespool/transport/clock.py
+++ b/sprucespool/transport/clock.py
@@ -1,4 +1,7 @@
-"""Wall time for ages that others tell, read once: a wall clock may be stepped, the monotonic one is not."""
+"""Wall time for ages reported by other processes.
+
+The wall clock is read only once: it may be stepped, while the monotonic clock is not.
+"""
 
 from __future__ import annotations
 
@@ -7,14 +10,14 @@
 
 
 class AnchoredClock:
-    """Unix time as the wall clock had it when the process began, moved on by the monotonic clock."""
+    """Unix time: the wall clock at construction, advanced by the monotonic clock."""
 
     def __init__(self, wall: Callable[[], float] = time.time, monotonic: Callable[[], float] = time.monotonic):
         self._monotonic = monotonic
         self._offset = wall() - monotonic()
 
     def unix(self) -> float:
-        """In seconds."""
+        """Unix time in seconds."""
         return self._monotonic() + self._offset
 
     def unix_ms(self) -> float:
--- a/sprucespool/transport/listener.py
+++ b/sprucespool/transport/listener.py
@@ -1,4 +1,4 @@
-"""The serving side: accepts connections, hands calls to their methods, ends gracefully."""
+"""gRPC server: accepts connections, dispatches calls to their methods and shuts down gracefully."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 from sprucespool.transport.acceptor import Acceptor
 from sprucespool.transport.wire import Wire
 
-LOOK_EVERY = 1.0
+CHECK_INTERVAL_SECONDS = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class Server:
-    """What a listener allows; times in milliseconds."""
+    """Limits of a listener; times in milliseconds."""
 
     connections: int = 4096
     handshake: float = 5_000.0
     idle_close: float = 600_000.0
     keepalive: float = 30_000.0
     keepalive_timeout: float = 10_000.0
-    # A client that reads nothing of its answer for so long loses it.
+    # A response of which the client reads nothing for this long is dropped.
     unread: float = 20_000.0
-    # Bytes of half-received messages over all connections.
+    # Limit in bytes for incompletely received messages, summed over all connections.
     half_received: int = 256 * 1024 * 1024
 
 
@@ -56,7 +56,7 @@
     )
 
     def __init__(self, wire: Wire, began: Began, now: float, peer: str, waited: float):
-        # How long the call may have waited for its connection to be accepted, in ms.
+        # How long (ms) the call may have waited for its connection to be accepted.
         self.waited = waited
         self.wire, self.stream, self.path = wire, began.stream, began.path
         self.metadata, self.timeout, self.began, self.peer = began.metadata, began.timeout, now, peer
@@ -72,7 +72,10 @@
         return self.wire.link
 
     def send(self, message: bytes) -> int:
-        """Bytes that wait on this call now; ask `mark` for `on_drained` when they are too many."""
+        """Send a message and return how many bytes are now buffered for this call.
+
+        If that is too much, call `mark` to be notified by `on_drained`.
+        """
         if self.over or self.wire.lost:
             return 0
         waiting = self.link.send(self.stream, message)
@@ -101,7 +104,7 @@
             self.wire.flush_soon()
 
     def reset(self, code: int) -> None:
-        """End the stream without a status (a stand-in's fault, or a stream cut)."""
+        """End the stream without a status (an injected fault of a stand-in, or a stream that is cut off)."""
         if not self.over:
             self.over = True
             self.link.reset(self.stream, code)
@@ -112,23 +115,23 @@
 
 
 def unary(serve: Callable[[ServerCall, bytes], None]) -> Method:
-    """A method of one request message: `serve` gets it when the client is done sending."""
+    """Make a method with one request message: `serve` receives it once the client has finished sending."""
 
     def method(call: ServerCall):
-        got: list[bytes] = []
+        received: list[bytes] = []
 
         def message(data: bytes, size: int):
             call.consumed(size)
-            if got:
+            if received:
                 call.on_message = lambda data, size: None
                 call.finish(Status.INVALID_ARGUMENT, "expected one message")
-            got.append(data)
+            received.append(data)
 
         def closed():
             if call.over:
                 return
-            if got:
-                serve(call, got[0])
+            if received:
+                serve(call, received[0])
             else:
                 call.finish(Status.INVALID_ARGUMENT, "expected one message, got none")
 
@@ -143,25 +146,25 @@
     def __init__(self, listener: Listener, waited: float):
         self.listener, self.waited = listener, waited
         self.calls: dict[int, ServerCall] = {}
-        self.wire = Wire(ServerLink(listener.limits, listener.ledger), self._events, self._lost, self._made)
-        self.name, self.received_any, self.pinged = "?", False, 0.0
+        self.wire = Wire(ServerLink(listener.limits, listener.ledger), self._events, self._lost, self._connected)
+        self.name, self.received_any, self.pinged_at = "?", False, 0.0
 
     @property
     def link(self) -> ServerLink:
         assert isinstance(self.wire.link, ServerLink)
         return self.wire.link
 
-    def _made(self, wire: Wire):
+    def _connected(self, wire: Wire):
         assert wire.transport is not None
         name = wire.transport.get_extra_info("peername")
         self.name = f"{name[0]}:{name[1]}" if isinstance(name, tuple) else "?"
         if self.listener.closed:
-            # Accepted by the loop just before the listener closed, made just after: served, it would keep alive what
-            # was told to end.
+            # Accepted just before the listener closed but set up just after: serving this connection would keep a
+            # process alive that is to end.
             wire.end("closed", at_once=True)
             return
         if len(self.listener.peers) >= self.listener.server.connections or (
-            self.listener.leaving and not self.listener.kept
+            self.listener.shutting_down and not self.listener.kept_paths
         ):
             self.listener.turned_away += 1
             wire.end("too many connections", at_once=True)
@@ -177,23 +180,27 @@
                 call = ServerCall(wire, event, wire.last_received_at, self.name, waited)
                 method = self.listener.methods.get(event.path)
                 if method is None:
-                    self.listener.unknown(call)
-                elif self.listener.leaving and self.listener.kept and event.path not in self.listener.kept:
+                    self.listener.reject_unknown(call)
+                elif (
+                    self.listener.shutting_down
+                    and self.listener.kept_paths
+                    and event.path not in self.listener.kept_paths
+                ):
                     call.finish(Status.UNAVAILABLE, "shutting down")
                 else:
                     self.calls[event.stream] = call
                     method(call)
             elif isinstance(event, Ponged):
-                self.pinged = 0.0
-            elif (found := self.calls.get(getattr(event, "stream", 0))) is not None:
-                self._tell(found, event)
+                self.pinged_at = 0.0
+            elif (existing := self.calls.get(getattr(event, "stream", 0))) is not None:
+                self._dispatch(existing, event)
         if len(self.calls) > 64 or not self.link.streams:
-            # Answered ones leave with their streams.
+            # Drop finished calls whose streams have ended.
             self.calls = {n: call for n, call in self.calls.items() if n in self.link.streams}
-        if self.listener.leaving and not self.listener.kept and not self.link.streams:
-            self.listener.loop.call_soon(self.listener.end_if_quiet, self)
+        if self.listener.shutting_down and not self.listener.kept_paths and not self.link.streams:
+            self.listener.loop.call_soon(self.listener.end_if_idle, self)
 
-    def _tell(self, call: ServerCall, event: Event):
+    def _dispatch(self, call: ServerCall, event: Event):
         if isinstance(event, Message):
             if call.over:
                 call.consumed(event.size)
@@ -206,9 +213,9 @@
             call.on_drained()
         elif isinstance(event, Reset):
             del self.calls[event.stream]
-            self._gone(call)
+            self._cancelled(call)
 
-    def _gone(self, call: ServerCall):
+    def _cancelled(self, call: ServerCall):
         if not call.over:
             call.over = True
             call.on_cancelled()
@@ -217,23 +224,23 @@
         self.listener.peers.pop(self, None)
         calls, self.calls = list(self.calls.values()), {}
         for call in calls:
-            self._gone(call)
-        self.listener.lost(why)
+            self._cancelled(call)
+        self.listener.count_end(why)
 
-    def look(self, now: float):
+    def check(self, now: float):
         server, wire, link = self.listener.server, self.wire, self.link
         if not self.received_any and not link.highest and now - wire.opened > server.handshake and link._preface:
             return wire.end("no HTTP/2 preface in time", at_once=True)
-        for event in link.sweep(max(1, int(server.unread / 1000.0 / LOOK_EVERY))):
+        for event in link.sweep(max(1, int(server.unread / 1000.0 / CHECK_INTERVAL_SECONDS))):
             self._events(wire, [event])
-        if self.pinged and wire.last_received_at < self.pinged:
-            if now - self.pinged > server.keepalive_timeout:
+        if self.pinged_at and wire.last_received_at < self.pinged_at:
+            if now - self.pinged_at > server.keepalive_timeout:
                 wire.end("a ping was not answered", at_once=True)
         elif not link.streams and now - wire.last_received_at > server.idle_close:
             link.go_away(why="idle")
             wire.end("idle")
         elif now - wire.last_received_at > server.keepalive:
-            self.pinged = now
+            self.pinged_at = now
             link.ping()
         wire.flush_soon()
 
@@ -242,7 +249,7 @@
 
 
 class Listener:
-    """A gRPC server on one address. `methods` maps a path such as /package.Service/Method to what serves it."""
+    """A gRPC server on one address. `methods` maps a path such as /package.Service/Method to its method."""
 
     def __init__(self, methods: dict[str, Method], limits: Limits, server: Server):
         self.methods, self.limits, self.server = methods, limits, server
@@ -250,41 +257,43 @@
         self.ledger = Ledger(server.half_received)
         self.peers: dict[_Peer, None] = {}
         self.accepted = self.turned_away = 0
-        self.ends: dict[str, int] = {}
-        self.leaving = self.closed = False
-        # Paths that are served until the end, when all others are refused.
-        self.kept: frozenset[str] = frozenset()
-        self.acceptor = Acceptor(lambda waited: _Peer(self, waited).wire, BACKLOG, lambda problem: None)
-        self._look: asyncio.TimerHandle | None = None
+        self.end_counts: dict[str, int] = {}
+        self.shutting_down = self.closed = False
+        # Paths still served during shutdown, when calls of all other paths are refused.
+        self.kept_paths: frozenset[str] = frozenset()
+        self.acceptor = Acceptor(lambda waited: _Peer(self, waited).wire, BACKLOG, lambda error: None)
+        self._check_timer: asyncio.TimerHandle | None = None
 
     async def start(self, host: str, port: int) -> int:
-        """Listen; gives the port (0 asks for any). Raises OSError where the address can't be had."""
+        """Start listening and return the port (port 0 requests any). Raises OSError if the address is not available."""
         port = await self.acceptor.start(host, port)
-        self._look = self.loop.call_later(LOOK_EVERY, self._look_round)
+        self._check_timer = self.loop.call_later(CHECK_INTERVAL_SECONDS, self._check_peers)
         return port
 
-    def unknown(self, call: ServerCall) -> None:
+    def reject_unknown(self, call: ServerCall) -> None:
         call.finish(Status.UNIMPLEMENTED, f"no method {call.path[:200]}")
 
-    def lost(self, why: str) -> None:
-        if len(self.ends) < 200 or why in self.ends:
-            self.ends[why] = self.ends.get(why, 0) + 1
+    def count_end(self, why: str) -> None:
+        if len(self.end_counts) < 200 or why in self.end_counts:
+            self.end_counts[why] = self.end_counts.get(why, 0) + 1
 
-    def _look_round(self):
+    def _check_peers(self):
         now = self.loop.time() * 1000.0
         for peer in list(self.peers):
-            peer.look(now)
-        self._look = self.loop.call_later(LOOK_EVERY, self._look_round)
+            peer.check(now)
+        self._check_timer = self.loop.call_later(CHECK_INTERVAL_SECONDS, self._check_peers)
 
-    def end_if_quiet(self, peer: _Peer) -> None:
+    def end_if_idle(self, peer: _Peer) -> None:
         if not peer.link.streams and not peer.wire.lost:
             peer.wire._flush()
             peer.wire.end("going away")
 
     def go_away(self, keep: frozenset[str] = frozenset()) -> None:
-        """No new connections and no new calls; those begun go on. With paths to `keep`, new connections are taken for
-        these alone: calls of all others are refused."""
-        self.leaving, self.kept = True, keep
+        """Accept no new connections or calls; calls in progress continue.
+
+        With paths to `keep`, new connections are still accepted, but only for these paths: all other calls are refused.
+        """
+        self.shutting_down, self.kept_paths = True, keep
         if not keep:
             self.acceptor.close()
         for peer in list(self.peers):
@@ -293,23 +302,23 @@
 
     async def drain(self, timeout: float) -> bool:
         """After `go_away`: wait until all calls are answered and written, at most `timeout` ms. True if they were."""
-        self.kept = frozenset()
+        self.kept_paths = frozenset()
         self.acceptor.close()
         end = self.loop.time() + timeout / 1000.0
         while any(peer.link.streams for peer in self.peers) and self.loop.time() < end:
             await asyncio.sleep(0.02)
-        quiet = not any(peer.link.streams for peer in self.peers)
+        finished = not any(peer.link.streams for peer in self.peers)
         for peer in list(self.peers):
             peer.wire._flush()
             peer.wire.end("shut down")
         await asyncio.sleep(0.02)
-        return quiet
+        return finished
 
     def close(self) -> None:
-        """At once."""
+        """Close the listener and all connections immediately."""
         self.closed = True
-        if self._look:
-            self._look.cancel()
+        if self._check_timer:
+            self._check_timer.cancel()
         self.acceptor.close()
         for peer in list(self.peers):
             peer.wire.end("closed", at_once=True)
--- a/sprucespool/transport/opener.py
+++ b/sprucespool/transport/opener.py
@@ -1,4 +1,4 @@
-"""Connections to one address, opened for the calls that wait for one: the same whatever is spoken on them."""
+"""Opens connections to one address for the calls that wait for one, independent of the protocol spoken on them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Connection(Protocol):
-    """`note` brings its slot up to date."""
+    """A connection of an opener; `note` updates its slot."""
 
     wire: Wire
     slot: Slot
@@ -26,12 +26,16 @@
 
 
 class Opener(Generic[Conn, Call]):
-    """To be told of a lost connection by `drop`. What waits is placed, and refused, by those who know the calls."""
+    """Base of connection pools: subclasses place and fail the waiting calls.
+
+    Call `drop` when a connection is lost.
+    """
 
     def __init__(self, host: str, port: int, limits: PoolLimits, seed: int, pace: LoopPace | None = None):
-        # Asked before anything is written: what came during a stall is read first, as the end of a client.
+        # Consulted before a call is written: input that arrived during a stall, such as the disconnection of a client,
+        # is read first.
         self.pace = pace
-        self._placing: asyncio.Task | None = None
+        self._placing_task: asyncio.Task | None = None
         self.host, self.port = host, port
         self.plan = PoolPlan(limits, seed)
         self.loop = asyncio.get_running_loop()
@@ -47,30 +51,30 @@
         raise NotImplementedError
 
     def place_now(self) -> None:
-        """Place what waits, unless the loop stood still since it was decided."""
+        """Place waiting calls now, or later if the event loop has stalled since the decision to send them."""
         if self.pace is not None and self.pace.stalled:
             self.place_soon()
         else:
             self.place_waiting()
 
     def place_soon(self) -> None:
-        """Place what waits once it is known whether it is still wanted."""
-        if self.waiting and not self.closed and self._placing is None:
-            self._placing = self.loop.create_task(self._settle_and_place())
+        """Place waiting calls once pending input, which may cancel some of them, has been read."""
+        if self.waiting and not self.closed and self._placing_task is None:
+            self._placing_task = self.loop.create_task(self._settle_and_place())
 
     async def _settle_and_place(self):
         if self.pace is not None:
             await self.pace.settle()
-        self._placing = None
+        self._placing_task = None
         if not self.closed:
             self.place_waiting()
 
     def fail_unconnected(self, call: Call, why: str) -> None:
-        """No connection was had for the call: end it."""
+        """End a call for which no connection could be opened."""
         raise NotImplementedError
 
     def on_connect_failed(self, why: str) -> None:
-        """For the log."""
+        """Called after a failed connection attempt, for logging."""
 
     def now(self) -> float:
         return self.loop.time() * 1000.0
@@ -89,14 +93,14 @@
                 await self._open_socket(conn)
             if self.pace is not None:
                 await self.pace.settle()
-        except (OSError, TimeoutError) as problem:
-            why = f"{type(problem).__name__}: {problem}"
+        except (OSError, TimeoutError) as error:
+            why = f"{type(error).__name__}: {error}"
             self.plan.slots.remove(slot)
             self.plan.backoff.failed(self.now())
             self.on_connect_failed(why)
             if not any(not other.ready for other in self.plan.slots):
-                left, self.waiting = list(self.waiting), deque()
-                for call in left:
+                calls, self.waiting = list(self.waiting), deque()
+                for call in calls:
                     self.fail_unconnected(call, why)
             return
         if self.closed or conn.wire.lost:
@@ -110,7 +114,7 @@
         self.place_waiting()
 
     async def _open_socket(self, conn: Conn) -> None:
-        """Connect; what fails for want of something on this machine is tried again until the connect time is up."""
+        """Connect, retrying transient errors of this machine until the connect timeout expires."""
         source = self.plan.limits.source
         while True:
             try:
@@ -118,17 +122,17 @@
                     lambda: conn.wire, self.host, self.port, local_addr=(source, 0) if source else None
                 )
                 return
-            except OSError as problem:
-                if problem.errno not in TRANSIENT_ERRORS:
+            except OSError as error:
+                if error.errno not in TRANSIENT_ERRORS:
                     raise
             await asyncio.sleep(TRANSIENT_RETRY_SECONDS)
 
     def cancel_tasks(self) -> None:
-        """Of one that is closed."""
+        """Cancel pending connection attempts and placements, when the opener is closed."""
         for task in self.opening:
             task.cancel()
-        if self._placing is not None:
-            self._placing.cancel()
+        if self._placing_task is not None:
+            self._placing_task.cancel()
 
     def drop(self, conn: Conn) -> None:
         self.conns.pop(conn.slot, None)
--- a/sprucespool/transport/pace.py
+++ b/sprucespool/transport/pace.py
@@ -1,115 +1,121 @@
-"""How late an event loop runs, and whether input that waited through a stall has been read."""
+"""Measures how late an event loop runs and whether input that arrived during a stall has been read."""
 
 from __future__ import annotations
 
 import asyncio
 
-TIMER_PERIOD = 0.02
-SMOOTHING = 0.3
-# Behind its own timer by more than this the loop has stalled: what came meanwhile may still be unread.
-STALL = 0.02
-# Rounds of the loop after a stall: that in which it was noticed may have polled before it; data, then the end of the
-# connection behind it, each take one of their own.
-ROUNDS_AFTER_STALL = 3
-# For so long after a stall what is read may have waited through it, behind other input or in an accept queue.
-AFTERMATH = 0.05
-# Of one caller's waiting for a loop that stalls again and again; of that for one that has gone on and polls quickly,
-# within so many seconds: accepting a connection, reading from it and hearing of its end take rounds of their own.
-MOST_ROUNDS = 4
-MOST_QUICK_ROUNDS, QUICK = 16, 0.05
+TIMER_PERIOD_SECONDS = 0.02
+LAG_SMOOTHING = 0.3
+# If the timer fires later than this, the loop has stalled, and input that arrived meanwhile may still be unread.
+STALL_SECONDS = 0.02
+# Loop iterations to wait after a stall. The iteration that noticed the stall may have polled before it; reading data,
+# then the end of the connection behind that data, takes one iteration each.
+ITERATIONS_AFTER_STALL = 3
+# Input read within this time after a stall may have waited through it, behind other input or in an accept queue.
+AFTER_STALL_SECONDS = 0.05
+# Limits for one wait: for a loop that stalls repeatedly, and for a loop that polls quickly again, within QUICK_SECONDS.
+# Accepting a connection, reading from it and noticing its end take an iteration each.
+MAX_ITERATIONS = 4
+MAX_QUICK_ITERATIONS, QUICK_SECONDS = 16, 0.05
 
 
 class LoopPace:
-    """Watches the running loop by a timer of its own. Times are milliseconds."""
+    """Watches the event loop with a timer. Public durations are in milliseconds, `since` values are loop time (s)."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop):
         self.loop = loop
-        # Smoothed, since one slow turn is no jam.
+        # Smoothed, since a single slow iteration is not congestion.
         self.lag = 0.0
-        self._due = loop.time() + TIMER_PERIOD
-        self._timer = loop.call_at(self._due, self._tick)
-        self._stalled_for = 0.0
-        self._stall_ended = float("-inf")
-        # Rounds until all that came during a stall has been read, and whether they are being counted.
-        self._rounds = 0
-        self._counter: asyncio.Handle | None = None
+        self._due_at = loop.time() + TIMER_PERIOD_SECONDS
+        self._timer = loop.call_at(self._due_at, self._tick)
+        self._stall_seconds = 0.0
+        self._stall_ended_at = float("-inf")
+        # Iterations left until all input that arrived during a stall has been read, and the handle that counts them.
+        self._iterations = 0
+        self._count_handle: asyncio.Handle | None = None
 
     def _lateness(self) -> float:
-        return max(0.0, self.loop.time() - self._due)
+        return max(0.0, self.loop.time() - self._due_at)
 
     def _tick(self) -> None:
-        late = self._lateness()
-        if late > STALL:
-            self._stalled(late)
-        self.lag += SMOOTHING * (late * 1000.0 - self.lag)
-        self._due = self.loop.time() + TIMER_PERIOD
-        self._timer = self.loop.call_at(self._due, self._tick)
-
-    def _stalled(self, late: float) -> None:
-        self._unsettle()
+        lateness = self._lateness()
+        if lateness > STALL_SECONDS:
+            self._note_stall(lateness)
+        self.lag += LAG_SMOOTHING * (lateness * 1000.0 - self.lag)
+        self._due_at = self.loop.time() + TIMER_PERIOD_SECONDS
+        self._timer = self.loop.call_at(self._due_at, self._tick)
+
+    def _note_stall(self, lateness: float) -> None:
+        self._restart_count()
         now = self.loop.time()
-        # A short one just after a long one: what is read may still have waited through the long one.
-        if late >= self._stalled_for or now - self._stall_ended >= AFTERMATH:
-            self._stalled_for, self._stall_ended = late, now
+        # Shortly after a long stall, input may still have waited through that one: keep it when a shorter one follows.
+        if lateness >= self._stall_seconds or now - self._stall_ended_at >= AFTER_STALL_SECONDS:
+            self._stall_seconds, self._stall_ended_at = lateness, now
 
-    def _unsettle(self) -> None:
-        """Count rounds of the loop itself: several may wait for them, and ask in each."""
-        self._rounds = ROUNDS_AFTER_STALL
-        if self._counter is None:
-            self._counter = self.loop.call_soon(self._count_round)
+    def _restart_count(self) -> None:
+        """Restart the countdown of loop iterations, which does not depend on how many callers check in each of them."""
+        self._iterations = ITERATIONS_AFTER_STALL
+        if self._count_handle is None:
+            self._count_handle = self.loop.call_soon(self._count_iteration)
 
-    def _count_round(self) -> None:
-        self._rounds -= 1
-        self._counter = self.loop.call_soon(self._count_round) if self._rounds > 0 else None
+    def _count_iteration(self) -> None:
+        self._iterations -= 1
+        self._count_handle = self.loop.call_soon(self._count_iteration) if self._iterations > 0 else None
 
     @property
     def stalled(self) -> bool:
-        """Whether the loop stands still at this moment: what was decided in this turn may be old."""
-        return self._lateness() > STALL
+        """Whether the loop is stalled at this moment: decisions made in this iteration may be outdated."""
+        return self._lateness() > STALL_SECONDS
 
-    def may_wait_more(self, rounds: int, since: float) -> bool:
-        """Whether one more round may be waited for, after so many since `since` (loop time, seconds)."""
-        return rounds < MOST_ROUNDS or rounds < MOST_QUICK_ROUNDS and self.loop.time() - since < QUICK
+    def may_wait_more(self, iterations: int, since: float) -> bool:
+        """Whether to wait for one more iteration, after `iterations` of them since `since` (loop time, seconds)."""
+        return (
+            iterations < MAX_ITERATIONS
+            or iterations < MAX_QUICK_ITERATIONS
+            and self.loop.time() - since < QUICK_SECONDS
+        )
 
     def possible_wait_ms(self) -> float:
-        """How long what is read now may have waited unread, at the most."""
-        late = self._lateness()
-        if late <= STALL and self.loop.time() - self._stall_ended < AFTERMATH:
-            late = self._stalled_for
-        return late * 1000.0 if late > STALL else 0.0
+        """Upper bound (ms) of how long input that is read now may have waited unread."""
+        lateness = self._lateness()
+        if lateness <= STALL_SECONDS and self.loop.time() - self._stall_ended_at < AFTER_STALL_SECONDS:
+            lateness = self._stall_seconds
+        return lateness * 1000.0 if lateness > STALL_SECONDS else 0.0
 
     def possible_wait_on_connection_ms(self, waited: float) -> float:
-        """As `unread`, of a request on a connection that waited so long to be accepted.
+        """Like `possible_wait_ms`, for a request on a connection that waited `waited` ms to be accepted.
 
-        Where it may have waited its client may have left meanwhile: nothing is settled before the end of its
-        connection, which is read behind it, would have been.
+        If the request may have waited, its client may have disconnected meanwhile. The end of its connection is read
+        after the request, so the loop only counts as settled once that end would have been read.
         """
         waited = max(waited, self.possible_wait_ms())
         if waited > 0.0:
-            self._unsettle()
+            self._restart_count()
         return waited
 
     def settled(self, since: float) -> bool:
-        """Whether something planned at `since` (loop time, seconds) may be done now: False where the loop stalled,
-        until it has polled its sockets again."""
+        """Whether something planned at `since` (loop time, seconds) may be done now.
+
+        False after a stall of the loop until it has polled its sockets again.
+        """
         now = self.loop.time()
-        if now - since > STALL:
-            self._stalled(now - since)
-        elif self._lateness() > STALL:
-            self._stalled(self._lateness())
-        return self._rounds <= 0
+        if now - since > STALL_SECONDS:
+            self._note_stall(now - since)
+        elif self._lateness() > STALL_SECONDS:
+            self._note_stall(self._lateness())
+        return self._iterations <= 0
 
     async def settle(self) -> None:
-        """Wait until the sockets were polled without a stall."""
-        began, rounds = self.loop.time(), 0
-        while self.may_wait_more(rounds, began):
+        """Wait until the sockets have been polled without a stall."""
+        started_at, iterations = self.loop.time(), 0
+        while self.may_wait_more(iterations, started_at):
             since = self.loop.time()
             await asyncio.sleep(0)
             if self.settled(since):
                 return
-            rounds += 1
+            iterations += 1
 
     def close(self) -> None:
         self._timer.cancel()
-        if self._counter is not None:
-            self._counter.cancel()
+        if self._count_handle is not None:
+            self._count_handle.cancel()
--- a/sprucespool/transport/plan.py
+++ b/sprucespool/transport/plan.py
@@ -1,4 +1,4 @@
-"""When to open, use and close connections to one invoker. Decides on what it is told; no I/O, no clock."""
+"""Decides when to open, use and close connections to one address, without I/O and without a clock."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolLimits:
-    """Times in milliseconds."""
+    """Limits of a connection pool; times in milliseconds."""
 
     connections: int = 4
     connect_timeout: float = 250.0
@@ -18,37 +18,43 @@
     keepalive_timeout: float = 5_000.0
     initial_backoff: float = 50.0
     max_backoff: float = 3_000.0
-    # Calls that may wait for a connection being opened; more are unconnected at once.
+    # Calls that may wait for a connection being opened; further ones fail immediately as unconnected.
     waiting: int = 1000
-    # The own address that connections are made from; empty: the system's choice.
+    # Local address that connections are made from; empty: chosen by the system.
     source: str = ""
 
 
 class Backoff:
-    """Jittered exponential pauses between attempts to connect (as gRPC's connection back-off, with decorrelated
-    jitter so that controllers that lost an invoker together do not come back together)."""
+    """Jittered exponential pauses between connection attempts, like gRPC's connection backoff.
+
+    The jitter is decorrelated, so that controllers that lost an invoker at the same time do not reconnect at the same
+    time.
+    """
 
     def __init__(self, limits: PoolLimits, seed: int):
         self.limits, self.seed, self.counter = limits, seed, itertools.count()
-        self.pause, self.until = 0.0, 0.0
+        self.pause, self.ends_at = 0.0, 0.0
 
     def failed(self, now: float) -> None:
         chance = zlib.crc32(b"%d:%d" % (self.seed, next(self.counter))) / 2**32
-        first, last = self.limits.initial_backoff, self.limits.max_backoff
-        self.pause = min(last, first + chance * max(0.0, 3 * max(self.pause, first) - first))
-        self.until = now + self.pause
+        initial, maximum = self.limits.initial_backoff, self.limits.max_backoff
+        self.pause = min(maximum, initial + chance * max(0.0, 3 * max(self.pause, initial) - initial))
+        self.ends_at = now + self.pause
 
     def succeeded(self) -> None:
-        self.pause, self.until = 0.0, 0.0
+        self.pause, self.ends_at = 0.0, 0.0
 
     def active(self, now: float) -> bool:
-        return now < self.until
+        return now < self.ends_at
 
 
 @dataclass(slots=True, eq=False)
 class Slot:
-    """One connection as the plan sees it. `room` is how many more calls its peer takes; `held`: the system takes
-    nothing more to be written on it for now; `leaving`: its peer ends it once the calls on it are over."""
+    """State of one connection that the plan depends on.
+
+    `room` is how many more calls the peer accepts. `write_blocked`: the system accepts no more bytes for now.
+    `closing`: the peer closes the connection once the calls on it have ended.
+    """
 
     ready: bool = False
     room: int = 0
@@ -61,7 +67,7 @@
 
 
 class PoolPlan:
-    """Answers, for one call or one look round, what is to be done with the connections."""
+    """Decides what to do with the connections, for one call or for one periodic check."""
 
     def __init__(self, limits: PoolLimits, seed: int):
         self.limits = limits
@@ -69,28 +75,28 @@
         self.slots: list[Slot] = []
 
     def place(self, now: float, waiting: int) -> tuple[Slot | None, bool, str]:
-        """For one more call with `waiting` before it: (connection to use, whether to open one, why not at all).
+        """Place a call with `waiting` calls before it: (connection to use, whether to open one, reason for failure).
 
-        None and no reason: it waits for a connection that is being opened.
+        Without a connection and without a reason, the call waits for a connection that is being opened.
         """
-        open_to = [slot for slot in self.slots if slot.ready and slot.room > 0 and not slot.write_blocked]
-        if open_to:
-            return min(open_to, key=lambda slot: slot.open_calls), False, ""
-        lasting = [slot for slot in self.slots if not slot.closing]
-        opening = sum(not slot.ready for slot in lasting)
+        usable = [slot for slot in self.slots if slot.ready and slot.room > 0 and not slot.write_blocked]
+        if usable:
+            return min(usable, key=lambda slot: slot.open_calls), False, ""
+        remaining = [slot for slot in self.slots if not slot.closing]
+        opening = sum(not slot.ready for slot in remaining)
         if not opening and self.backoff.active(now):
             return None, False, "not tried again yet after a failed connection"
         if waiting >= self.limits.waiting:
             return None, False, "too many calls wait for a connection"
-        # One that is held takes calls again when its peer reads: they wait for it.
-        full = sum(slot.ready and not (slot.write_blocked and slot.room > 0) for slot in lasting)
+        # A connection whose writes are blocked accepts calls again once its peer reads: calls wait for it.
+        full = sum(slot.ready and not (slot.write_blocked and slot.room > 0) for slot in remaining)
         if full >= self.limits.connections and not opening:
             return None, False, "all connections are full"
-        # One at a time: a burst must not open a connection for each of its calls.
-        return None, not opening and len(lasting) < self.limits.connections, ""
+        # Open one connection at a time: a burst must not open a connection for each of its calls.
+        return None, not opening and len(remaining) < self.limits.connections, ""
 
     def check(self, now: float) -> tuple[list[Slot], list[Slot], list[Slot]]:
-        """(to close as idle, to ping, to give up since a ping was not answered)."""
+        """Return the connections (to close as idle, to ping, to drop because a ping was not answered)."""
         idle, ping, dead = [], [], []
         for slot in self.slots:
             if not slot.ready:
--- a/sprucespool/transport/pool.py
+++ b/sprucespool/transport/pool.py
@@ -1,4 +1,4 @@
-"""Connections to one invoker, opened at need, closed when idle, tried again after a jittered pause."""
+"""gRPC connections to one address: opened on demand, closed when idle, retried after a jittered pause."""
 
 from __future__ import annotations
 
@@ -17,52 +17,52 @@
 
 @dataclass(slots=True)
 class Unconnected:
-    """The call never left: no connection was had."""
+    """The call was never sent, since no connection was available."""
 
     why: str
 
 
 @dataclass(slots=True)
 class Broken:
-    """The connection went while the call was out: it may have run."""
+    """The connection was lost while the call was in progress: it may have run."""
 
     why: str
 
 
 CallEvent = Message | Answered | Reset | Drained | Unconnected | Broken
-# Nothing is written ahead of what the system takes: what waits here can still be withdrawn.
-HIGH_WATER = 0
-# Seconds for which a call that was taken back may be left half written.
-UNWRITTEN = 0.05
+# Write no more than the system accepts: calls that are not written yet can still be withdrawn.
+HIGH_WATER_BYTES = 0
+# How long a cancelled call may remain partly written before its connection is closed.
+UNWRITTEN_LIMIT_SECONDS = 0.05
 FINAL_EVENTS = (Answered, Reset, Unconnected, Broken)
 
 
 class PoolCall:
     """One call to the address of the pool.
 
-    `heard` receives the events of the call. Exactly one of FINAL_EVENTS is the last; after `cancel` there are none.
+    `on_event` receives the events of the call. Exactly one of FINAL_EVENTS is the last; after `cancel` there are none.
     """
 
-    __slots__ = ("pool", "path", "metadata", "until", "messages", "heard", "conn", "stream", "begun_at", "over")
+    __slots__ = ("pool", "path", "metadata", "deadline", "message", "on_event", "conn", "stream", "headers_end", "over")
 
     def __init__(
         self,
         pool: Pool,
         path: str,
         metadata: Metadata,
-        until: float | None,
+        deadline: float | None,
         message: bytes,
-        heard: Callable[[CallEvent], None],
+        on_event: Callable[[CallEvent], None],
     ):
-        self.pool, self.path, self.metadata, self.until = pool, path, metadata, until
-        self.messages, self.heard = message, heard
+        self.pool, self.path, self.metadata, self.deadline = pool, path, metadata, deadline
+        self.message, self.on_event = message, on_event
         self.conn: _Conn | None = None
         self.stream, self.over = 0, False
-        # What the system has taken of the connection's bytes when it has the call's headers.
-        self.begun_at = 0
+        # Byte position in the output of the connection at which the headers of the call end.
+        self.headers_end = 0
 
     def cancel(self) -> None:
-        """Nobody waits any more: RST_STREAM(CANCEL) if it left, else it never does."""
+        """Cancel the call: with RST_STREAM(CANCEL) if it was sent; otherwise it is never sent."""
         if self.over:
             return
         self.over = True
@@ -70,10 +70,10 @@
             self.conn.forget(self.stream)
             self.conn.link.reset(self.stream)
             self.conn.wire.flush_soon()
-            self.conn.taken_back(self)
+            self.conn.on_call_cancelled(self)
 
     def consumed(self, size: int) -> None:
-        """So many bytes of results left for good: the invoker may send as many more."""
+        """Report `size` bytes of results as processed, so that the peer may send as many more."""
         if self.conn is not None and not self.conn.wire.lost:
             self.conn.link.consumed(self.stream, size)
             self.conn.wire.flush_soon()
@@ -81,17 +81,17 @@
     def end(self, event: CallEvent) -> None:
         if not self.over:
             self.over = isinstance(event, FINAL_EVENTS)
-            self.heard(event)
+            self.on_event(event)
 
 
 class _Conn:
-    """A connection of the pool with the calls on it."""
+    """A connection of the pool with its calls."""
 
     def __init__(self, pool: Pool, slot: Slot):
         self.pool, self.slot = pool, slot
         self.calls: dict[int, PoolCall] = {}
-        self.wire = Wire(ClientLink(pool.limits), self._events, self._lost, high_water=HIGH_WATER)
-        self.wire.on_paused = self._paused
+        self.wire = Wire(ClientLink(pool.limits), self._events, self._lost, high_water=HIGH_WATER_BYTES)
+        self.wire.on_paused = self._on_paused_changed
 
     @property
     def link(self) -> ClientLink:
@@ -99,27 +99,27 @@
         return self.wire.link
 
     def begin(self, call: PoolCall, now: float):
-        left = max(1.0, call.until - now) if call.until is not None else None
-        call.conn, call.stream = self, self.link.call(call.path, self.pool.authority, call.metadata, left)
+        remaining = max(1.0, call.deadline - now) if call.deadline is not None else None
+        call.conn, call.stream = self, self.link.call(call.path, self.pool.authority, call.metadata, remaining)
         self.calls[call.stream] = call
-        call.begun_at = self.wire.handed + self.link.control_size()
-        self.link.send(call.stream, call.messages)
+        call.headers_end = self.wire.written_bytes + self.link.control_size()
+        self.link.send(call.stream, call.message)
         self.link.half_close(call.stream)
-        call.messages = b""
+        call.message = b""
         self.note()
-        # At once: between a decision and its writing nothing may come that would have changed it.
+        # Written immediately: no input that would have changed the decision may arrive before the write.
         self.wire.flush()
 
-    def taken_back(self, call: PoolCall):
-        """Against a call that begins at the peer long after it was called off, when the peer reads again."""
-        if self.wire.taken < call.begun_at and not self.wire.lost:
-            self.pool.loop.call_later(UNWRITTEN, self._end_if_unwritten, call)
+    def on_call_cancelled(self, call: PoolCall):
+        """Limit how long a cancelled call stays unwritten: the peer would begin it long after the cancellation."""
+        if self.wire.accepted_bytes < call.headers_end and not self.wire.lost:
+            self.pool.loop.call_later(UNWRITTEN_LIMIT_SECONDS, self._end_if_unwritten, call)
 
     def _end_if_unwritten(self, call: PoolCall):
-        if self.wire.taken < call.begun_at:
-            self.wire.end("a call taken back is still unwritten", at_once=True)
+        if self.wire.accepted_bytes < call.headers_end:
+            self.wire.end("a cancelled call is still unwritten", at_once=True)
 
-    def _paused(self, wire: Wire):
+    def _on_paused_changed(self, wire: Wire):
         self.slot.write_blocked = wire.paused
         if not wire.paused and self.slot.ready:
             self.pool.place_soon()
@@ -149,7 +149,7 @@
                 call.end(event)  # type: ignore[arg-type]
         self.note()
         if self.link.peer_leaving and not self.calls:
-            wire.end("the invoker goes away")
+            wire.end("the peer is going away")
         elif self.slot.ready and self.slot.room > 0:
             self.pool.place_soon()
 
@@ -161,7 +161,7 @@
 
 
 class Pool(Opener[_Conn, PoolCall]):
-    """All that goes to one address."""
+    """All connections and calls to one address."""
 
     def __init__(
         self,
@@ -182,30 +182,35 @@
         call.end(Unconnected(why))
 
     def call(
-        self, path: str, metadata: Metadata, timeout: float | None, message: bytes, heard: Callable[[CallEvent], None]
+        self,
+        path: str,
+        metadata: Metadata,
+        timeout: float | None,
+        message: bytes,
+        on_event: Callable[[CallEvent], None],
     ) -> PoolCall:
-        """Send one message and hear what comes back; `timeout` in ms goes along as grpc-timeout."""
+        """Send one message and pass the events of the call to `on_event`; `timeout` (ms) is sent as grpc-timeout."""
         now = self.now()
-        call = PoolCall(self, path, metadata, None if timeout is None else now + timeout, message, heard)
-        slot, opens, why = self.plan.place(now, len(self.waiting))
+        call = PoolCall(self, path, metadata, None if timeout is None else now + timeout, message, on_event)
+        slot, should_open, why = self.plan.place(now, len(self.waiting))
         if slot is not None and self.pace is not None and self.pace.stalled:
             self.waiting.append(call)
             self.place_soon()
         elif slot is not None:
             self.conns[slot].begin(call, now)
         elif why or self.closed:
-            # Told in the next turn: the caller does not yet hold the call.
+            # Reported in the next loop iteration, since the caller does not have the call object yet.
             self.loop.call_soon(call.end, Unconnected(why or "the pool is closed"))
         else:
             self.waiting.append(call)
-            if opens:
+            if should_open:
                 self.open()
         return call
 
     def withdraw_waiting(self, why: str) -> None:
-        """Nothing new may go there: what waits for a connection never leaves."""
-        left, self.waiting = list(self.waiting), deque()
-        for call in left:
+        """Fail all calls that wait for a connection, because no new calls may be sent to this address."""
+        calls, self.waiting = list(self.waiting), deque()
+        for call in calls:
             call.end(Unconnected(why))
 
     def place_waiting(self) -> None:
@@ -215,24 +220,24 @@
                 self.waiting.popleft()
                 continue
             now = self.now()
-            if call.until is not None and call.until <= now:
+            if call.deadline is not None and call.deadline <= now:
                 self.waiting.popleft()
-                self.fail_unconnected(call, "its time was up before it could leave")
+                self.fail_unconnected(call, "its deadline passed before it could be sent")
                 continue
-            slot, opens, why = self.plan.place(now, 0)
+            slot, should_open, why = self.plan.place(now, 0)
             if slot is None:
                 if why:
                     self.waiting.popleft()
                     self.fail_unconnected(call, why)
                     continue
-                if opens:
+                if should_open:
                     self.open()
                 return
             self.waiting.popleft()
             self.conns[slot].begin(call, now)
 
     def check(self) -> None:
-        """Called now and then: idle connections close, silent ones are asked, dead ones given up."""
+        """Periodic check: close idle connections, ping silent ones and drop those that do not answer."""
         now = self.now()
         for conn in list(self.conns.values()):
             conn.slot.last_received_at = conn.wire.last_received_at
--- a/sprucespool/transport/read_buffer.py
+++ b/sprucespool/transport/read_buffer.py
@@ -1,4 +1,4 @@
-"""The memory that the connections of one event loop read into, one after the other."""
+"""The buffer that all connections of one event loop share for reading."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class _ThreadBuffer(threading.local):
-    """A process may run several event loops, one a thread: each thread reads into memory of its own."""
+    """One buffer per thread, since a process may run several event loops, one per thread."""
 
     def __init__(self) -> None:
         self.view = memoryview(bytearray(READ_BUFFER_SIZE))
@@ -18,5 +18,5 @@
 
 
 def read_buffer() -> memoryview:
-    """The calling thread's buffer. What is read into it has to be copied before the next read."""
+    """Return the buffer of the calling thread. Data read into it must be copied before the next read."""
     return _THREAD_BUFFER.view
--- a/sprucespool/transport/wire.py
+++ b/sprucespool/transport/wire.py
@@ -1,4 +1,4 @@
-"""One connection: bytes between a socket and a link."""
+"""Transfers bytes between one socket and its link (the protocol state of the connection)."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from sprucespool.links import Link, LinkError
 from sprucespool.transport.read_buffer import read_buffer
 
-HIGH_WATER = 256 * 1024
-# Control frames that a peer provokes and does not read.
-MOST_UNREAD = 1024 * 1024
+HIGH_WATER_BYTES = 256 * 1024
+# Limit for control frames that a peer provokes but does not read.
+MAX_UNREAD_CONTROL_BYTES = 1024 * 1024
 
 
 def now_ms() -> float:
@@ -20,9 +20,10 @@
 
 
 class Wire(asyncio.BufferedProtocol):
-    """Feeds a link and writes what it has to say, once a turn of the loop.
+    """Passes received bytes to a link and writes the output of the link, once per event loop iteration.
 
-    `on_events(wire, events)` gets what came; `on_lost(wire, why)` once when the connection is gone.
+    `on_events(wire, events)` receives the events of the link; `on_lost(wire, why)` is called once when the connection
+    has ended.
     """
 
     def __init__(
@@ -31,26 +32,27 @@
         on_events: Callable[[Wire, list[Any]], None],
         on_lost: Callable[[Wire, str], None],
         on_made: Callable[[Wire], None] | None = None,
-        high_water: int = HIGH_WATER,
+        high_water: int = HIGH_WATER_BYTES,
     ):
         self.high_water = high_water
-        # Against last words that unread input would swallow (a close with bytes unread resets the connection):
-        # said after `delay` ms, then the peer is heard out for `linger` ms. 0: closed as soon as they are written.
+        # Closing a connection with unread input resets it, which would discard the final output. The final output is
+        # therefore written after `delay` ms, and input is read for another `linger` ms. With `linger` 0 the connection
+        # is closed as soon as the output is written.
         self.delay = self.linger = 0.0
         self.on_closed: Callable[[Wire], None] = lambda wire: None
-        # Told when the system takes no more for now, and when it does again.
+        # Called when the system accepts no more bytes for now, and when it does again.
         self.on_paused: Callable[[Wire], None] = lambda wire: None
-        # Bytes handed to the transport; those of them handed while the system took no more.
-        self.handed = self._handed_paused = 0
+        # Bytes written to the transport, and the part of them written while writing was paused.
+        self.written_bytes = self._written_while_paused = 0
         self.link, self.on_events, self.on_lost, self.on_made = link, on_events, on_lost, on_made
         self.loop = asyncio.get_running_loop()
-        # Shared with the loop's other connections: thousands of idle ones need no memory of their own.
+        # Shared with the other connections of the loop, so that thousands of idle ones need no buffers of their own.
         self._read_buffer = read_buffer()
         self.transport: asyncio.Transport | None = None
         self.paused, self.scheduled, self.lost = False, False, False
         self.opened = self.last_received_at = self.loop.time() * 1000.0
         self.why = ""
-        # Whether it was ended from this side.
+        # Whether this side ended the connection.
         self.ended_locally = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -70,8 +72,8 @@
         self.last_received_at = self.loop.time() * 1000.0
         try:
             events = self.link.receive(self._read_buffer[:nbytes], self.last_received_at)
-        except LinkError as problem:
-            return self.end(str(problem))
+        except LinkError as error:
+            return self.end(str(error))
         if events:
             self.on_events(self, events)
         self.flush_soon()
@@ -86,15 +88,15 @@
         self.flush()
 
     def flush(self) -> None:
-        """Write what the link has to say now, message by message where it gives one at a time."""
+        """Write all pending output of the link, message by message if the link returns one at a time."""
         while not self.lost and self.transport is not None:
             out, drained = self.link.outgoing(data_too=not self.paused)
             if out:
-                self.handed += len(out)
+                self.written_bytes += len(out)
                 if self.paused:
-                    self._handed_paused += len(out)
+                    self._written_while_paused += len(out)
                 self.transport.write(out)
-                if self._handed_paused > MOST_UNREAD:
+                if self._written_while_paused > MAX_UNREAD_CONTROL_BYTES:
                     return self.end("the peer does not read")
             if drained:
                 self.on_events(self, list(drained))
@@ -103,42 +105,42 @@
 
     @property
     def unwritten(self) -> bool:
-        """Whether something said is not with the system yet."""
+        """Whether some output has not been accepted by the system yet."""
         if self.lost or self.transport is None:
             return False
         return self.scheduled or self.paused or self.transport.get_write_buffer_size() > 0
 
     @property
-    def taken(self) -> int:
-        """Bytes that the system took of what was handed over."""
-        return self.handed - (self.transport.get_write_buffer_size() if self.transport is not None else 0)
+    def accepted_bytes(self) -> int:
+        """How many of the written bytes the system has accepted."""
+        return self.written_bytes - (self.transport.get_write_buffer_size() if self.transport is not None else 0)
 
     def pause_writing(self) -> None:
         self.paused = True
         self.on_paused(self)
 
     def resume_writing(self) -> None:
-        self.paused, self._handed_paused = False, 0
+        self.paused, self._written_while_paused = False, 0
         self.on_paused(self)
         self.flush_soon()
 
     def eof_received(self) -> bool:
-        """A peer that sends no more has gone: known now, not when what is still to be written has been."""
-        self._gone(self.why or "closed by the peer")
+        """Treat the end of input as a lost connection at once, without waiting for pending output to be written."""
+        self._report_lost(self.why or "closed by the peer")
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._gone(self.why or (f"{type(exc).__name__}: {exc}" if exc else "closed by the peer"))
+        self._report_lost(self.why or (f"{type(exc).__name__}: {exc}" if exc else "closed by the peer"))
         self.on_closed(self)
 
-    def _gone(self, why: str):
+    def _report_lost(self, why: str):
         if not self.lost:
             self.lost = True
             self.on_lost(self, why)
             self.link.forget()
 
     def end(self, why: str, at_once: bool = False) -> None:
-        """Write what is left to say and close; `at_once` drops it."""
+        """Write the remaining output and close the connection; `at_once` discards the output."""
         if self.lost:
             return
         self.why, self.ended_locally = why, True
@@ -146,24 +148,24 @@
             if at_once:
                 self.transport.abort()
             else:
-                # Also what waits for a peer that is slow to read: it was answered, and is owed the words.
+                # Includes output held back for a peer that is slow to read: its answers must still be delivered.
                 self._close_after(self.link.outgoing()[0])
-        self._gone(why)
+        self._report_lost(why)
 
     def _close_after(self, out: bytes):
         assert self.transport is not None
         if self.linger and self.delay:
             self.transport.pause_reading()
-            self.loop.call_later(self.delay / 1000.0, self._last_words, out)
+            self.loop.call_later(self.delay / 1000.0, self._write_final, out)
         elif self.linger:
-            self._last_words(out)
+            self._write_final(out)
         else:
             self.transport.write(out)
             self.transport.close()
-            # A peer that never reads must not hold the socket: whatever is unwritten then is dropped.
+            # A peer that never reads must not keep the socket open: output still unwritten by then is discarded.
             self.loop.call_later(1.0, self.transport.abort)
 
-    def _last_words(self, out: bytes):
+    def _write_final(self, out: bytes):
         if self.transport is None or self.transport.is_closing():
             return
         self.transport.write(out)
