--- a/sprucespool/node/clients.py
+++ b/sprucespool/node/clients.py
@@ -91,7 +91,7 @@
 
     def cut(self, why: str, pause: float = 0.0) -> None:
         """End the connection with a word of error, said after `pause` ms."""
-        self.link.fail_open()
+        self.link.fail_open_requests()
         self.wire.delay = pause
         self.wire.end(why)
 
--- a/sprucespool/relay/__init__.py
+++ b/sprucespool/relay/__init__.py
@@ -1,1 +1,4 @@
-"""The operators' platform protocol without I/O: clients' frames, invokers' lines, command channel, configuration."""
+"""The protocol of the operators' platform without I/O.
+
+It consists of the frames of clients, the lines of invokers, the command channel and the configuration file.
+"""
--- a/sprucespool/relay/configuration.py
+++ b/sprucespool/relay/configuration.py
@@ -1,4 +1,4 @@
-"""The controller's configuration file: JSON, with the simulator's settings as nested objects."""
+"""The configuration file of the controller: JSON, with the settings of the simulator as nested objects."""
 
 from __future__ import annotations
 
@@ -15,11 +15,13 @@
 
 
 class ConfigurationError(ValueError):
-    """The file can't be used; the text names the place and what was expected."""
+    """The file is invalid; the message names the place and what was expected."""
 
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
+    """A configuration file that was read and checked."""
+
     name: str
     host: str
     port: int
@@ -36,7 +38,7 @@
 
 
 def flatten(settings: dict[str, Any]) -> dict[str, str]:
-    """Nested settings as the path=value pairs of the simulator's wire, which have one reading already."""
+    """Convert nested settings to the path=value pairs of the simulator's protocol, which have a parser already."""
     pairs: dict[str, str] = {}
 
     def put(path: str, value: Any):
@@ -67,53 +69,53 @@
 
 
 def read(data: bytes) -> Configuration:
-    """Raises ConfigurationError with what was expected."""
+    """Parse a configuration file. Raises ConfigurationError with what was expected."""
     try:
-        told = msgspec.json.decode(data)
-    except msgspec.DecodeError as problem:
-        raise ConfigurationError(f"expected JSON: {problem}") from None
-    if not isinstance(told, dict):
+        decoded = msgspec.json.decode(data)
+    except msgspec.DecodeError as error:
+        raise ConfigurationError(f"expected JSON: {error}") from None
+    if not isinstance(decoded, dict):
         raise ConfigurationError("expected a JSON object")
 
-    def inside(whole: dict, name: str, kind: type, place: str) -> Any:
+    def typed_value(whole: dict, name: str, kind: type, place: str) -> Any:
         value = whole.get(name)
         if not isinstance(value, kind):
             raise ConfigurationError(f"expected {place} as {kind.__name__}, got {value!r:.60}")
         return value
 
-    def place(name: str) -> tuple[str, int]:
+    def address_of(name: str) -> tuple[str, int]:
         try:
-            return address(inside(told, name, str, name))
-        except ValueError as problem:
-            raise ConfigurationError(f"{name}: {problem}") from None
-
-    def limit(name: str, least: float, absent: float) -> float:
-        value = limits.get(name, absent)
-        if isinstance(value, bool) or not isinstance(value, int | float) or not value >= least:
-            raise ConfigurationError(f"expected limits.{name} as a number of at least {least:g}, got {value!r}")
+            return address(typed_value(decoded, name, str, name))
+        except ValueError as error:
+            raise ConfigurationError(f"{name}: {error}") from None
+
+    def limit(name: str, minimum: float, default: float) -> float:
+        value = limits.get(name, default)
+        if isinstance(value, bool) or not isinstance(value, int | float) or not value >= minimum:
+            raise ConfigurationError(f"expected limits.{name} as a number of at least {minimum:g}, got {value!r}")
         return float(value)
 
-    settings = inside(told, "settings", dict, "settings")
-    limits = inside(told, "limits", dict, "limits")
-    known = inside(told, "known", dict, "known")
-    cursor = inside(known, "cursor", int, "known.cursor")
-    commands = inside(known, "cmds", list, "known.cmds")
+    settings = typed_value(decoded, "settings", dict, "settings")
+    limits = typed_value(decoded, "limits", dict, "limits")
+    known = typed_value(decoded, "known", dict, "known")
+    cursor = typed_value(known, "cursor", int, "known.cursor")
+    commands = typed_value(known, "cmds", list, "known.cmds")
     pairs = Settings(flatten(settings))
     try:
-        dep = deployment(pairs)
-        idle, streams = pairs.number("ceilings.idleClose", 0.0), pairs.number("ceilings.streamsPerConn", 0.0)
-    except Malformed as problem:
-        raise ConfigurationError(f"settings: {problem}") from None
+        parsed = deployment(pairs)
+        idle_close_ms, streams = pairs.number("ceilings.idleClose", 0.0), pairs.number("ceilings.streamsPerConn", 0.0)
+    except Malformed as error:
+        raise ConfigurationError(f"settings: {error}") from None
     return Configuration(
-        str(told.get("name", "")),
-        *place("listen"),
-        _seed(told.get("seed")),
+        str(decoded.get("name", "")),
+        *address_of("listen"),
+        _seed(decoded.get("seed")),
         limit("memory_mb", 1.0, 1e9),
         int(limit("sockets", 32.0, 1024.0)),
-        *place("channel"),
+        *address_of("channel"),
         cursor,
         commands,
-        dep,
-        idle or 15_000.0,
+        parsed,
+        idle_close_ms or 15_000.0,
         int(streams) or 100,
     )
--- a/sprucespool/relay/frames.py
+++ b/sprucespool/relay/frames.py
@@ -1,6 +1,6 @@
-"""Frames between clients and this controller; the serving end.
+"""Frames between clients and this controller; the server side.
 
-A client that sends what no client may send is cut off with its whole connection: nothing of it can be trusted then.
+If a client violates the protocol, its whole connection is closed, since nothing it sent can be trusted any more.
 """
 
 from __future__ import annotations
@@ -13,33 +13,33 @@
 from sprucespool.links import IllegalMove, LinkError
 from sprucespool.relay.unparsed import UnparsedBytes
 
-HEAD, NAME_SIZE, VALUE_SIZE = 4, 1, 2
-SMALLEST, LARGEST = 5, 262_144
-MOST_OPEN, LARGEST_BODY = 32, 16_384
-ASKED, ANSWER, TAKEN_BACK, READY, READINESS, NO_MORE = 16, 17, 18, 32, 33, 48
+LENGTH_BYTES, NAME_SIZE_BYTES, VALUE_SIZE_BYTES = 4, 1, 2
+MIN_FRAME_BYTES, MAX_FRAME_BYTES = 5, 262_144
+MAX_OPEN_REQUESTS, MAX_BODY_BYTES = 32, 16_384
+REQUEST, ANSWER, CANCEL, READINESS_QUERY, READINESS_REPLY, DRAIN = 16, 17, 18, 32, 33, 48
 RETURNED, SHED, FAILED = 0, 14, 2
-# Bytes of answers that wait for a client that reads nothing.
-MOST_UNREAD = 1024 * 1024
-LARGEST_FIGURE, LARGEST_LANES = 1e9, 1024
-# How much longer than its route timeout a client may say to wait: clients round, and count from another moment.
-WAIT_SLACK = 50.0
+# Limit for the answers buffered for a client that does not read.
+MAX_UNREAD_BYTES = 1024 * 1024
+MAX_NUMBER, MAX_LANES = 1e9, 1024
+# A client may announce a wait this much longer than its route timeout: clients round, and count from another moment.
+WAIT_TOLERANCE_MS = 50.0
 
 _ID = re.compile(r"[0-9a-f]{16}\Z")
-_ONCE = re.compile(r"[0-9a-f]{32}\Z")
-_FIGURE = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?\Z")
+_ONCE_TOKEN = re.compile(r"[0-9a-f]{32}\Z")
+_NUMBER = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?\Z")
 
 
 class FrameError(LinkError):
-    """A frame that no client may send."""
+    """A frame that violates the protocol."""
 
 
 class RequestError(FrameError):
-    """A request whose fields can't be used; the text names the field and what was expected."""
+    """A request with invalid fields; the message names the field and what was expected."""
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """An inference as a client asks for it."""
+    """An inference as requested by a client."""
 
     stream: int
     id: str
@@ -69,15 +69,15 @@
 Event = Request | Cancellation | ReadinessQuery
 
 
-def fields_of(data: bytes, at: int, end: int) -> tuple[dict[str, str], int]:
-    """The fields that begin at `at`, and where they end."""
+def decode_fields(data: bytes, at: int, end: int) -> tuple[dict[str, str], int]:
+    """Decode the fields that begin at `at`; return them with the position of their end."""
     if at >= end:
         raise FrameError("expected a count of fields")
     count, at = data[at], at + 1
-    found: dict[str, str] = {}
+    fields: dict[str, str] = {}
     for _ in range(count):
         pair = []
-        for width in NAME_SIZE, VALUE_SIZE:
+        for width in NAME_SIZE_BYTES, VALUE_SIZE_BYTES:
             stop = at + width + int.from_bytes(data[at : at + width], "big")
             if at + width > end or stop > end:
                 raise FrameError("expected whole fields")
@@ -86,22 +86,22 @@
             except UnicodeDecodeError:
                 raise FrameError("expected names and values as text") from None
             at = stop
-        if pair[0] in found:
+        if pair[0] in fields:
             raise RequestError(f"expected {pair[0][:40]!r} once")
-        found[pair[0]] = pair[1]
-    return found, at
+        fields[pair[0]] = pair[1]
+    return fields, at
 
 
 def encode_fields(fields: dict[str, str]) -> bytes:
     parts = [bytes((len(fields),))]
     for name, value in fields.items():
-        for width, text in (NAME_SIZE, name.encode()), (VALUE_SIZE, value.encode()):
+        for width, text in (NAME_SIZE_BYTES, name.encode()), (VALUE_SIZE_BYTES, value.encode()):
             parts.append(len(text).to_bytes(width, "big") + text)
     return b"".join(parts)
 
 
 class RequestReader:
-    """What a request may name here."""
+    """Checks requests against the model groups and tenants of the deployment."""
 
     def __init__(self, deployment: it.Deployment):
         self.groups = {group.name: group for group in deployment.groups}
@@ -122,44 +122,44 @@
             raise RequestError(f"expected tenant as in the settings, got {tenant[:40]!r}")
         once, retry = fields.get("once", ""), fields.get("retry", "")
         if group.effect is it.Effect.DEDUPED or once:
-            text("once", _ONCE, "32 hex digits")
+            text("once", _ONCE_TOKEN, "32 hex digits")
         if retry not in ("", "1"):
             raise RequestError(f"expected retry as 1 or absent, got {retry[:40]!r}")
-        if len(body) > LARGEST_BODY:
-            raise RequestError(f"expected a body of at most {LARGEST_BODY} bytes, got {len(body)}")
-        figures = {}
+        if len(body) > MAX_BODY_BYTES:
+            raise RequestError(f"expected a body of at most {MAX_BODY_BYTES} bytes, got {len(body)}")
+        numbers = {}
         for part in fields["attrs"].split(";") if fields.get("attrs") else ():
             name, colon, value = part.partition(":")
-            if not colon or name in figures:
-                raise RequestError(f"expected attrs as NAME:FIGURE;..., got {part[:40]!r}")
-            figures[name] = _figure(f"attrs {name[:40]}", value, 0.0, LARGEST_FIGURE)
+            if not colon or name in numbers:
+                raise RequestError(f"expected attrs as NAME:NUMBER;..., got {part[:40]!r}")
+            numbers[name] = _number(f"attrs {name[:40]}", value, 0.0, MAX_NUMBER)
         if "cost" in fields:
-            figures["cost"] = _figure("cost", fields["cost"], 0.0, LARGEST_FIGURE)
-        lanes = figures.get("lanes")
-        if lanes is not None and not (1 <= lanes <= LARGEST_LANES and lanes == int(lanes)):
-            raise RequestError(f"expected attrs lanes as a whole number from 1 to {LARGEST_LANES}, got {lanes}")
+            numbers["cost"] = _number("cost", fields["cost"], 0.0, MAX_NUMBER)
+        lanes = numbers.get("lanes")
+        if lanes is not None and not (1 <= lanes <= MAX_LANES and lanes == int(lanes)):
+            raise RequestError(f"expected attrs lanes as a whole number from 1 to {MAX_LANES}, got {lanes}")
         return Request(
             stream,
             text("id", _ID, "16 hex digits"),
             group.name,
             text("key", _ID, "16 hex digits"),
-            _figure("wait", fields.get("wait", ""), 1.0, group.route_timeout + WAIT_SLACK),
+            _number("wait", fields.get("wait", ""), 1.0, group.route_timeout + WAIT_TOLERANCE_MS),
             tenant,
             once,
             retry == "1",
-            figures.get("cost"),
-            figures.get("memory_mb"),
+            numbers.get("cost"),
+            numbers.get("memory_mb"),
             None if lanes is None else int(lanes),
-            figures.get("load_ms"),
+            numbers.get("load_ms"),
             body,
         )
 
 
-def _figure(name: str, value: str, least: float, most: float) -> float:
-    figure = float(value) if _FIGURE.match(value) else math.nan
-    if not least <= figure <= most:
-        raise RequestError(f"expected {name} as a number from {least:g} to {most:g}, got {value[:40]!r}")
-    return figure
+def _number(name: str, value: str, minimum: float, maximum: float) -> float:
+    number = float(value) if _NUMBER.match(value) else math.nan
+    if not minimum <= number <= maximum:
+        raise RequestError(f"expected {name} as a number from {minimum:g} to {maximum:g}, got {value[:40]!r}")
+    return number
 
 
 def _frame(kind: int, stream: int, payload: bytes) -> bytes:
@@ -167,73 +167,80 @@
 
 
 class FrameLink:
-    """The serving end of one client's connection."""
+    """The server side of the connection of one client."""
 
     more = False
 
-    def __init__(self, terms: RequestReader):
-        self.terms = terms
+    def __init__(self, reader: RequestReader):
+        self.reader = reader
         self.unparsed = UnparsedBytes()
         self.open: set[int] = set()
         self.highest = self.frames = 0
         self.out: list[bytes] = []
-        # Errors before the end: said even to a client that is slow to read its answers.
+        # Final error frames, sent even to a client that is slow to read its answers.
         self.last = b""
         self.unread = 0
 
     def receive(self, data: memoryview | bytes, now: float) -> list[Event]:
-        """All that came whole. After an error `outgoing` has the last words; nothing of this reading counts."""
+        """Return the events of all complete frames.
+
+        After an error, `outgoing` returns the final error frames, and no event of this call is returned.
+        """
         read = self.unparsed.append(data)
         if read is None:
             return []
         events: list[Event] = []
         at, size = 0, len(read)
-        while size - at >= HEAD:
-            length = int.from_bytes(read[at : at + HEAD], "big")
-            if not SMALLEST <= length <= LARGEST:
-                raise self._bad(0, FrameError(f"expected a length of {SMALLEST} to {LARGEST}, got {length}"))
-            if size - at < HEAD + length:
-                self.unparsed.need = HEAD + length
+        while size - at >= LENGTH_BYTES:
+            length = int.from_bytes(read[at : at + LENGTH_BYTES], "big")
+            if not MIN_FRAME_BYTES <= length <= MAX_FRAME_BYTES:
+                raise self._reject(
+                    0, FrameError(f"expected a length of {MIN_FRAME_BYTES} to {MAX_FRAME_BYTES}, got {length}")
+                )
+            if size - at < LENGTH_BYTES + length:
+                self.unparsed.need = LENGTH_BYTES + length
                 break
-            self._frame(read, at + HEAD, at + HEAD + length, events)
-            at += HEAD + length
+            self._frame(read, at + LENGTH_BYTES, at + LENGTH_BYTES + length, events)
+            at += LENGTH_BYTES + length
         self.unparsed.keep_from(read, at, now)
         return events
 
     def _frame(self, read: bytes, at: int, end: int, events: list[Event]):
         kind, stream = read[at], int.from_bytes(read[at + 1 : at + 5], "big")
         self.frames += 1
-        if kind == ASKED:
-            # Against answers under one number that belong to two requests.
+        if kind == REQUEST:
+            # A reused number would make answers to two requests indistinguishable.
             if stream <= self.highest:
-                raise self._bad(0, FrameError(f"expected a new stream number, got {stream}"))
+                raise self._reject(0, FrameError(f"expected a new stream number, got {stream}"))
             self.highest = stream
-            if len(self.open) >= MOST_OPEN:
-                raise self._bad(0, FrameError(f"expected at most {MOST_OPEN} open requests"))
+            if len(self.open) >= MAX_OPEN_REQUESTS:
+                raise self._reject(0, FrameError(f"expected at most {MAX_OPEN_REQUESTS} open requests"))
             try:
-                fields, body = fields_of(read, at + 5, end)
-                events.append(self.terms.request(stream, fields, read[body:end]))
-            except FrameError as problem:
-                raise self._bad(stream, problem) from None
+                fields, body = decode_fields(read, at + 5, end)
+                events.append(self.reader.request(stream, fields, read[body:end]))
+            except FrameError as error:
+                raise self._reject(stream, error) from None
             self.open.add(stream)
-        elif kind == TAKEN_BACK:
+        elif kind == CANCEL:
             if not 0 < stream <= self.highest:
-                raise self._bad(0, FrameError(f"expected the number of a request, got {stream}"))
+                raise self._reject(0, FrameError(f"expected the number of a request, got {stream}"))
             if stream in self.open:
                 self.open.discard(stream)
                 events.append(Cancellation(stream))
-        elif kind == READY:
+        elif kind == READINESS_QUERY:
             events.append(ReadinessQuery(stream))
         else:
-            raise self._bad(0, FrameError(f"expected a frame that clients send, got type {kind}"))
+            raise self._reject(0, FrameError(f"expected a frame that clients send, got type {kind}"))
+
+    def _reject(self, stream: int, error: FrameError) -> FrameError:
+        self.fail_open_requests(stream)
+        return error
 
-    def _bad(self, stream: int, problem: FrameError) -> FrameError:
-        self.fail_open(stream)
-        return problem
+    def fail_open_requests(self, stream: int = 0) -> None:
+        """Report an error and fail all open requests, as the connection is about to end.
 
-    def fail_open(self, stream: int = 0) -> None:
-        """Tell of an error (on stream 0 it belongs to no request), and fail what is open: the connection is about to
-        end, and whatever was taken is owed an answer."""
+        Every accepted request must get an answer. On stream 0 the error belongs to no request.
+        """
         failed = [stream, *sorted(self.open - {stream})]
         self.last = b"".join(_frame(ANSWER, each, bytes((FAILED, 0))) for each in failed)
         self.open.clear()
@@ -260,15 +267,15 @@
         self._answer(stream, bytes((FAILED, 0)))
 
     def readiness(self, stream: int, ready: bool) -> None:
-        self._write(READINESS, stream, bytes((0 if ready else SHED, 0)))
+        self._write(READINESS_REPLY, stream, bytes((0 if ready else SHED, 0)))
 
     def announce_drain(self) -> None:
-        """No new request on this connection."""
-        self._write(NO_MORE, 0, encode_fields({}))
+        """Ask the client to send no new requests on this connection."""
+        self._write(DRAIN, 0, encode_fields({}))
 
     def outgoing(self, data_too: bool = True) -> tuple[bytes, list[Event]]:
         last, self.last = self.last, b""
-        if not data_too and self.unread <= MOST_UNREAD:
+        if not data_too and self.unread <= MAX_UNREAD_BYTES:
             return last, []
         out, self.out, self.unread = b"".join(self.out), [], 0
         return out + last, []
--- a/sprucespool/relay/lines.py
+++ b/sprucespool/relay/lines.py
@@ -1,7 +1,7 @@
-"""Lines between this controller and an invoker; the asking end.
+"""Lines between this controller and an invoker; the client side.
 
-Nothing is trusted that was not asked for: answers under unknown ids are skipped, what can't be read ends the
-connection, and a length told is never allocated before its bytes came.
+Input that was not requested is not trusted: answers with unknown ids are skipped, unparsable input closes the
+connection, and memory for an announced length is never allocated before the bytes have arrived.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from sprucespool.links import IllegalMove, LinkError
 from sprucespool.relay.unparsed import UnparsedBytes
 
-LONGEST_LINE, LARGEST_BODY = 4096, 262_144
-END = b"\r\n"
+MAX_LINE_BYTES, MAX_BODY_BYTES = 4096, 262_144
+LINE_END = b"\r\n"
 _WORD = re.compile(rb"[!-~]{1,512}\Z")
 _LENGTH = re.compile(rb"[0-9]{1,7}\Z")
-_WHOLE = re.compile(r"[0-9]{1,9}\Z")
+_WHOLE_NUMBER = re.compile(r"[0-9]{1,9}\Z")
 
 RUN, ORDER, PROBE = "run", "order", "probe"
 OUTCOMES = {
@@ -33,18 +33,18 @@
     ORDER: {b"HIT": it.Outcome.RETURNED, b"SHED": it.Outcome.FULL, b"FAULT": it.Outcome.ERROR},
     PROBE: {b"PONG": it.Outcome.RETURNED, b"SICK": it.Outcome.ERROR},
 }
-WORDS = {word for words in OUTCOMES.values() for word in words}
+RESULT_WORDS = {word for words in OUTCOMES.values() for word in words}
 FOUND = {"resident": it.Found.WARM, "booted": it.Found.BEGAN_LOAD, "rode": it.Found.AWAITED_LOAD}
 LOAD_FAILED = "boot_error"
 
 
 class LineError(LinkError):
-    """What can't be read on an invoker's connection."""
+    """Input from an invoker that can't be parsed."""
 
 
 @dataclass(slots=True, eq=False)
 class Answer:
-    """The end of a run, an order or a probe, under the tag it was asked with."""
+    """The result of a run, an order or a probe, with the tag of its request."""
 
     tag: str
     outcome: it.Outcome
@@ -56,29 +56,32 @@
     body: bytes = b""
 
 
-def _whole(name: str, value: str) -> int:
-    if not _WHOLE.match(value):
+def _whole_number(name: str, value: str) -> int:
+    if not _WHOLE_NUMBER.match(value):
         raise LineError(f"expected {name} as a whole number, got {value[:40]!r}")
     return int(value)
 
 
 def _report(value: str) -> dict[str, float]:
-    figures = {}
+    values = {}
     for part in value.split(";") if value else ():
-        name, colon, figure = part.partition(":")
+        name, colon, number = part.partition(":")
         try:
-            figures[name] = float(figure)
+            values[name] = float(number)
         except ValueError:
-            figures[name] = math.nan
-        if not colon or not math.isfinite(figures[name]):
-            raise LineError(f"expected meter as NAME:FIGURE;..., got {part[:40]!r}")
-    return figures
+            values[name] = math.nan
+        if not colon or not math.isfinite(values[name]):
+            raise LineError(f"expected meter as NAME:NUMBER;..., got {part[:40]!r}")
+    return values
 
 
 @dataclass(slots=True, frozen=True)
 class _Line:
-    """A line that waits to be written. `deadline`: a run's, told in the line as what is left of it by then; `write_by`:
-    when it is too late to write the line at all."""
+    """A line that waits to be written.
+
+    `deadline` is that of a run; the line contains the time remaining until then when it is written. After `write_by`
+    the line is not written at all.
+    """
 
     before: bytes
     after: bytes = b""
@@ -86,7 +89,7 @@
     write_by: float = math.inf
 
     def written(self, now: float) -> bytes | None:
-        """None where nobody waits for the answer any more, or where it is too late for the line."""
+        """Return the line as bytes; None if its deadline or its `write_by` has passed."""
         if now > self.write_by:
             return None
         if self.deadline is None:
@@ -98,31 +101,31 @@
 
 
 class InvokerLink:
-    """The asking end of one connection to an invoker. `clock` gives the time (ms) at the moment of writing."""
+    """The client side of one connection to an invoker. `clock` returns the time (ms) at the moment of writing."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self.clock = clock
         self.unparsed = UnparsedBytes()
         self.open: dict[str, str] = {}
-        # Tags that were asked with here: a late or doubled answer must not end a later run of the same id.
+        # Tags already used on this connection: a late or duplicate answer must not end a later run with the same id.
         self.used_tags: dict[str, None] = {}
         self.unsent: dict[str, _Line] = {}
-        # Whose line was given out last: of it the socket may hold a part.
+        # Tag of the line that was returned last; the socket may have written only a part of it.
         self.last_written = ""
-        self.drops: list[bytes] = []
+        self.one_way_lines: list[bytes] = []
         self.skipped = 0
-        # What ended the reading, where good answers came before it.
+        # The error that stopped parsing after valid answers were read.
         self.read_error: LineError | None = None
 
-    # Out
+    # Output
 
     @property
     def more(self) -> bool:
-        return bool(self.unsent or self.drops)
+        return bool(self.unsent or self.one_way_lines)
 
     def _ask(self, kind: str, tag: str, line: _Line):
         if tag in self.used_tags:
-            raise IllegalMove(f"{tag} was asked with on this connection")
+            raise IllegalMove(f"{tag} was already used on this connection")
         self.open[tag], self.used_tags[tag], self.unsent[tag] = kind, None, line
 
     def run(
@@ -135,7 +138,7 @@
         body: bytes,
         write_by: float = math.inf,
     ) -> None:
-        """`deadline` and `write_by` are times of the link's clock."""
+        """Request a run; `deadline` and `write_by` are times of the clock of this link."""
         before = f"exec {tag} cls={group},item={model},limit="
         nonce = f",nonce={once}" if once else ""
         after = b"%b %d\r\n%b\r\n" % (nonce.encode(), len(body), body)
@@ -148,30 +151,30 @@
         self._ask(PROBE, tag, _Line(f"{'load' if load else 'health'} {tag}\r\n".encode()))
 
     def unload(self, model: str) -> None:
-        self.drops.append(f"release {model}\r\n".encode())
+        self.one_way_lines.append(f"release {model}\r\n".encode())
 
     def give_up(self, tag: str) -> bool:
-        """Nobody waits for it any more. False if it never left: it does not now."""
+        """Abandon a request. False if it was not handed to the socket yet: then it is never sent."""
         kind = self.open.pop(tag, None)
         if kind is None:
             return True
         if self.unsent.pop(tag, None) is not None:
             return False
         if kind == RUN:
-            self.drops.append(f"drop {tag}\r\n".encode())
+            self.one_way_lines.append(f"drop {tag}\r\n".encode())
         return True
 
     def was_sent(self, tag: str) -> bool:
-        """Whether the line was handed to the socket: what was not has certainly not run."""
+        """Whether the line was handed to the socket; if not, the request has certainly not run."""
         return tag not in self.unsent
 
     def outgoing(self, data_too: bool = True) -> tuple[bytes, list[Answer]]:
-        """One line, so that all others can still be taken back; and runs whose time was over before that."""
+        """Return one line, so that all others can still be withdrawn, and the requests that expired before that."""
         if not data_too:
             return b"", []
-        if self.drops:
-            drops, self.drops = b"".join(self.drops), []
-            return drops, []
+        if self.one_way_lines:
+            lines, self.one_way_lines = b"".join(self.one_way_lines), []
+            return lines, []
         expired: list[Answer] = []
         now = self.clock()
         while self.unsent:
@@ -189,7 +192,7 @@
         self.open.clear()
         self.unsent.clear()
 
-    # In
+    # Input
 
     def receive(self, data: memoryview | bytes, now: float) -> list[Answer]:
         read = self.unparsed.append(data)
@@ -205,58 +208,58 @@
                 answer, at = found
                 if answer is not None:
                     answers.append(answer)
-        except LineError as problem:
-            # What was read before the noise is good: it must not count as broken off.
-            self.read_error = problem
+        except LineError as error:
+            # Answers read before the invalid input are valid: they must not count as interrupted.
+            self.read_error = error
             if not answers:
                 raise
         self.unparsed.keep_from(read, at, now)
         return answers
 
     def _answer(self, read: bytes, at: int) -> tuple[Answer | None, int] | None:
-        """(answer, where it ends); no answer where nobody asked for it, None where it is not whole yet."""
-        stop = read.find(END, at, at + LONGEST_LINE)
-        if stop < 0:
-            if len(read) - at >= LONGEST_LINE:
-                raise LineError(f"expected a line of at most {LONGEST_LINE} bytes")
+        """Return (answer, its end); the answer is None if it was not requested. None if the answer is incomplete."""
+        line_end = read.find(LINE_END, at, at + MAX_LINE_BYTES)
+        if line_end < 0:
+            if len(read) - at >= MAX_LINE_BYTES:
+                raise LineError(f"expected a line of at most {MAX_LINE_BYTES} bytes")
             return None
-        parts = read[at:stop].split(b" ")
-        if len(parts) != 4 or parts[1] not in WORDS or not _WORD.match(parts[0]) or not _LENGTH.match(parts[3]):
-            raise LineError(f"expected ID WORD FIELDS LENGTH, got {read[at : min(stop, at + 80)]!r}")
+        parts = read[at:line_end].split(b" ")
+        if len(parts) != 4 or parts[1] not in RESULT_WORDS or not _WORD.match(parts[0]) or not _LENGTH.match(parts[3]):
+            raise LineError(f"expected ID WORD FIELDS LENGTH, got {read[at : min(line_end, at + 80)]!r}")
         length = int(parts[3])
-        if length > LARGEST_BODY:
-            raise LineError(f"expected a body of at most {LARGEST_BODY} bytes, got {length}")
-        begin = stop + len(END)
-        end = begin + length
-        if len(read) < end + len(END):
-            self.unparsed.need = end + len(END) - at
-            if len(read) > end and read[end : end + 1] != END[:1]:
+        if length > MAX_BODY_BYTES:
+            raise LineError(f"expected a body of at most {MAX_BODY_BYTES} bytes, got {length}")
+        body_start = line_end + len(LINE_END)
+        body_end = body_start + length
+        if len(read) < body_end + len(LINE_END):
+            self.unparsed.need = body_end + len(LINE_END) - at
+            if len(read) > body_end and read[body_end : body_end + 1] != LINE_END[:1]:
                 raise LineError("expected a line's end after the body")
             return None
-        if read[end : end + len(END)] != END:
+        if read[body_end : body_end + len(LINE_END)] != LINE_END:
             raise LineError("expected a line's end after the body")
         tag = parts[0].decode()
         kind = self.open.get(tag)
         fields = self._fields(parts[2])
         if kind is None:
             self.skipped += 1
-            return None, end + len(END)
+            return None, body_end + len(LINE_END)
         outcome = OUTCOMES[kind].get(parts[1])
         if outcome is None:
             raise LineError(f"expected the end of {kind}, got {parts[1]!r}")
-        tell = fields.get("tell", "")
+        load_report = fields.get("tell", "")
         answer = Answer(
             tag,
             outcome,
-            FOUND.get(tell, it.Found.UNTOLD) if outcome is it.Outcome.RETURNED else it.Found.UNTOLD,
-            tell == LOAD_FAILED,
-            _whole("same", fields.get("same", "0")),
-            _whole("n", fields.get("n", "0")),
+            FOUND.get(load_report, it.Found.UNTOLD) if outcome is it.Outcome.RETURNED else it.Found.UNTOLD,
+            load_report == LOAD_FAILED,
+            _whole_number("same", fields.get("same", "0")),
+            _whole_number("n", fields.get("n", "0")),
             _report(fields.get("meter", "")),
-            read[begin:end],
+            read[body_start:body_end],
         )
         del self.open[tag]
-        return answer, end + len(END)
+        return answer, body_end + len(LINE_END)
 
     def _fields(self, data: bytes) -> dict[str, str]:
         if data == b"-":
--- a/sprucespool/relay/unparsed.py
+++ b/sprucespool/relay/unparsed.py
@@ -1,11 +1,14 @@
-"""What was read of a connection and could not be used yet."""
+"""Received bytes of a connection that are not parsed yet."""
 
 from __future__ import annotations
 
 
 class UnparsedBytes:
-    """Bytes of a message that is not whole. One that comes byte by byte is not copied with each of them: `need` is how
-    many bytes it is known to take."""
+    """Bytes of an incomplete message.
+
+    `need` is how many bytes the message is known to need: until then `append` returns nothing, so that a message that
+    arrives byte by byte is not copied for each byte.
+    """
 
     __slots__ = ("data", "need", "since")
 
@@ -17,7 +20,7 @@
         return len(self.data)
 
     def append(self, data: memoryview | bytes) -> bytes | None:
-        """All that is unread, with what came now; None while it is known to be too little."""
+        """Add received bytes and return all unparsed bytes; None while they are known to be too few."""
         if not self.data:
             return bytes(data)
         self.data += data
@@ -27,10 +30,10 @@
         return bytes(self.data)
 
     def keep_from(self, read: bytes, at: int, now: float) -> None:
-        """Of what `take` gave, all from `at` on is still to be used."""
+        """Keep what `append` returned from position `at` on, as still unparsed."""
         if at or not self.data:
             self.data, self.since = bytearray(read[at:]), now
 
     def incomplete_for(self, now: float) -> float:
-        """For how long something has been half received; 0 where nothing is."""
+        """How long (ms) a message has been incomplete; 0 if there is none."""
         return now - self.since if self.data else 0.0
--- a/tests/faulty_sockets.py
+++ b/tests/faulty_sockets.py
@@ -1,4 +1,4 @@
-"""Sockets whose system calls fail, are short or are held at chosen calls, for the controller under test alone."""
+"""Sockets whose system calls fail, transfer less or block at chosen calls, only for the controller under test."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 SHORT = 0
-# What Linux documents for each call of the kind that passes, or that ends the connection alone.
+# Errors that Linux documents for each call and that are transient or end only the one connection.
 ERRORS = {
     "accept": [
         errno.ECONNABORTED,
@@ -46,16 +46,16 @@
     ],
     "recv": [SHORT, SHORT, errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.EAGAIN, errno.EINTR],
 }
-# Those after which the connection of a client may go on.
+# Faults after which the connection of a client may continue.
 HARMLESS = [SHORT, errno.EAGAIN, errno.EINTR]
 
 
 @dataclass
 class Written:
-    """What the system took on one connection, and when."""
+    """The bytes that the system accepted on one connection, and when."""
 
     data: bytearray = field(default_factory=bytearray)
-    # (bytes taken so far, monotonic time) after each call.
+    # (bytes accepted so far, monotonic time) after each call.
     marks: list[tuple[int, float]] = field(default_factory=list)
 
     def note(self, data: bytes) -> None:
@@ -68,20 +68,23 @@
 
 @dataclass
 class Faults:
-    """`planned` maps (side, call, n-th of that) to an errno, or SHORT; sides are "client" and "invoker"."""
+    """Planned faults: `planned` maps (side, call, n-th such call) to an errno or SHORT.
+
+    Sides are "client" and "invoker".
+    """
 
     planned: dict[tuple[str, str, int], int] = field(default_factory=dict)
     invoker_ports: set[int] = field(default_factory=set)
     # While set, a socket that is bound is the controller's listener.
     listening: bool = False
-    # While set, nothing is written to invokers beyond so many bytes of each call.
+    # While set, writes to invokers beyond this many bytes are blocked.
     hold_sends: int | None = None
     counts: Counter = field(default_factory=Counter)
     injected: list[tuple[str, str, int]] = field(default_factory=list)
     written: list[Written] = field(default_factory=list)
 
     async def begin(self, node) -> int:
-        """Start the controller; its listener, and no other of this process, is the one that fails."""
+        """Start the controller; faults apply to its listener and to no other of this process."""
         self.listening = True
         try:
             return await node.start()
@@ -89,7 +92,7 @@
             self.listening = False
 
     def attempts(self) -> list[tuple[str, float]]:
-        """(tag, when the system had the line) of each attempt written to an invoker."""
+        """(tag, when the system accepted the line) of each attempt written to an invoker."""
         return [
             (match[1].decode(), one.taken_at(match.end()))
             for one in self.written
@@ -105,7 +108,7 @@
 
 
 class FaultySocket(socket.socket):
-    """A socket that asks the faults of its class before each call, if it belongs to the controller."""
+    """A socket that applies the planned faults of its class before each call, if it belongs to the controller."""
 
     faults = Faults()
 
@@ -154,7 +157,7 @@
 
 @contextmanager
 def faulty_sockets(faults: Faults) -> Iterator[Faults]:
-    """Within, sockets made by this process are `FaultySocket`s."""
+    """Within this context, sockets created by this process are `FaultySocket`s."""
     usual = socket.socket
     FaultySocket.faults = faults
     socket.socket = FaultySocket  # type: ignore[misc]
--- a/tests/test_pool_crossings.py
+++ b/tests/test_pool_crossings.py
@@ -1,7 +1,7 @@
-"""Calls of a pool against a peer that stops reading or goes away.
+"""Calls of a pool to a peer that stops reading or goes away.
 
-What was not taken by the system can still be taken back; what crossed the announcement of an end is known not to have
-run.
+A call that the system has not accepted for writing can still be withdrawn. A call that crosses the peer's announcement
+of closing the connection is known not to have run.
 """
 
 import asyncio
@@ -28,13 +28,13 @@
 pytestmark = pytest.mark.sockets
 
 WIDE = Limits(stream_window=32 * 2**20, link_window=32 * 2**20, message=32 * 2**20)
-# More than the buffers of the system hold between two sockets.
+# More than the system buffers between two sockets.
 LARGE = 24 * 2**20
 SMALL_BUFFER = 16 * 1024
 
 
-class HeldPeer:
-    """Accepts one connection and reads on it only when told to."""
+class PausedPeer:
+    """Accepts one connection and reads from it only on request."""
 
     def __init__(self):
         self.listening = socket.socket()
@@ -54,7 +54,7 @@
         await self.read(0.2)
 
     async def read(self, quiet):
-        """Read and answer frames until nothing has come for so many seconds."""
+        """Read and answer frames until nothing has arrived for `quiet` seconds."""
         loop = asyncio.get_running_loop()
         with contextlib.suppress(TimeoutError, ConnectionError):
             while not self.ended:
@@ -77,8 +77,8 @@
 
 @contextlib.asynccontextmanager
 async def pool_and_peer(**limits):
-    """A pool with one connection to a peer that has shaken hands."""
-    peer = HeldPeer()
+    """A pool with one connection to a peer, after the handshake."""
+    peer = PausedPeer()
     pool = Pool("127.0.0.1", peer.port, WIDE, PoolLimits(connect_timeout=3_000.0, **limits), 1)
     warm = []
     pool.call("/a/Warm", {}, 5_000.0, b"", warm.append)
@@ -89,7 +89,7 @@
     peer.close()
 
 
-async def held_by_a_large_call(pool):
+async def block_with_a_large_call(pool):
     large = []
     call = pool.call("/a/Large", {}, 10_000.0, b"x" * LARGE, large.append)
     await until(lambda: all(conn.wire.paused for conn in pool.conns.values()))
@@ -97,32 +97,32 @@
 
 
 @pytest.mark.parametrize("how", ["cancel", "drain", "deadline"])
-def test_a_call_behind_an_unread_socket_can_be_taken_back(how):
+def test_a_call_behind_an_unread_socket_can_be_withdrawn(how):
     async def scene():
         async with pool_and_peer(connections=1) as (pool, peer):
-            await held_by_a_large_call(pool)
-            heard = []
-            call = pool.call("/a/Behind", {}, 200.0 if how == "deadline" else 5_000.0, b"small", heard.append)
+            await block_with_a_large_call(pool)
+            received = []
+            call = pool.call("/a/Behind", {}, 200.0 if how == "deadline" else 5_000.0, b"small", received.append)
             await asyncio.sleep(0.05)
-            assert not heard
+            assert not received
             if how == "cancel":
                 call.cancel()
             elif how == "drain":
                 pool.withdraw_waiting("drains")
-                assert [type(event) for event in heard] == [Unconnected]
+                assert [type(event) for event in received] == [Unconnected]
             else:
                 await asyncio.sleep(0.25)
             await peer.read(0.3)
             assert peer.begun == ["/a/Warm", "/a/Large"]
-            assert [type(event) for event in heard] == ([] if how == "cancel" else [Unconnected])
+            assert [type(event) for event in received] == ([] if how == "cancel" else [Unconnected])
 
     played(scene)
 
 
-def test_a_call_behind_an_unread_socket_leaves_when_the_peer_reads_with_the_time_that_is_left():
+def test_a_call_behind_an_unread_socket_is_sent_when_the_peer_reads_with_the_remaining_time():
     async def scene():
         async with pool_and_peer(connections=1) as (pool, peer):
-            await held_by_a_large_call(pool)
+            await block_with_a_large_call(pool)
             pool.call("/a/Behind", {}, 2_000.0, b"small", lambda event: None)
             await asyncio.sleep(0.5)
             await peer.read(0.3)
@@ -134,10 +134,10 @@
     played(scene)
 
 
-def test_a_call_beside_an_unread_socket_takes_another_connection():
+def test_a_call_beside_an_unread_socket_uses_another_connection():
     async def scene():
         async with pool_and_peer(connections=2) as (pool, peer):
-            await held_by_a_large_call(pool)
+            await block_with_a_large_call(pool)
             pool.call("/a/Beside", {}, 2_000.0, b"small", lambda event: None)
             await until(lambda: len(pool.conns) == 2)
             [free] = [conn for conn in pool.conns.values() if not conn.wire.paused]
@@ -147,33 +147,33 @@
     played(scene)
 
 
-def test_a_call_taken_back_before_its_headers_left_ends_the_connection_and_never_begins():
+def test_a_call_cancelled_before_its_headers_were_written_ends_the_connection_and_never_begins():
     async def scene():
         with faulty_sockets(Faults()) as faults:
-            peer = HeldPeer()
+            peer = PausedPeer()
             faults.invoker_ports.add(peer.port)
             pool = Pool("127.0.0.1", peer.port, WIDE, PoolLimits(connect_timeout=3_000.0), 1)
             other = []
             pool.call("/a/Warm", {}, 5_000.0, b"", other.append)
             await peer.accept()
             faults.hold_sends = 0
-            heard = []
-            call = pool.call("/a/Held", {}, 5_000.0, b"held", heard.append)
+            received = []
+            call = pool.call("/a/Held", {}, 5_000.0, b"held", received.append)
             await asyncio.sleep(0.02)
             call.cancel()
             await asyncio.sleep(0.1)
             faults.hold_sends = None
             await peer.read(0.3)
             assert peer.begun == ["/a/Warm"] and peer.ended
-            # What had left on the same connection may have run.
-            assert not heard and [type(event) for event in other] == [Broken]
+            # A call already written on the same connection may have run.
+            assert not received and [type(event) for event in other] == [Broken]
             pool.close()
             peer.close()
 
     played(scene)
 
 
-def test_a_large_answer_that_the_system_does_not_take_at_once_is_not_taken_for_a_peer_that_reads_nothing():
+def test_a_large_answer_that_the_system_accepts_in_parts_is_not_mistaken_for_a_peer_that_does_not_read():
     async def scene():
         answer = b"a" * LARGE
 
@@ -210,21 +210,21 @@
 # A peer that goes away
 
 
-def test_a_call_that_crosses_the_end_of_its_connection_is_told_not_to_have_run():
+def test_a_call_that_crosses_the_end_of_its_connection_is_reported_as_never_run():
     async def scene():
         async with pool_and_peer(connections=1) as (pool, peer):
-            heard = []
+            received = []
             peer.link.go_away()
-            pool.call("/a/Crossing", {}, 2_000.0, b"small", heard.append)
+            pool.call("/a/Crossing", {}, 2_000.0, b"small", received.append)
             await peer.read(0.1)
-            await until(lambda: heard)
-            assert [(type(event), event.never_ran) for event in heard] == [(Reset, True)]
+            await until(lambda: received)
+            assert [(type(event), event.never_ran) for event in received] == [(Reset, True)]
             assert peer.begun == ["/a/Warm"]
 
     played(scene)
 
 
-def test_calls_go_on_over_another_connection_while_the_old_one_still_answers():
+def test_new_calls_use_another_connection_while_the_old_one_still_answers():
     async def scene():
         async with pool_and_peer(connections=1) as (pool, peer):
             old = list(pool.conns)
@@ -240,12 +240,12 @@
     played(scene)
 
 
-def test_a_word_of_the_group_that_crosses_the_end_of_its_connection_is_said_again_once():
+def test_a_group_message_that_crosses_the_end_of_its_connection_is_sent_again_once():
     async def scene():
-        heard = []
+        received = []
 
         def say(call, data):
-            heard.append(platform.MemberMessage.FromString(data).fleet)
+            received.append(platform.MemberMessage.FromString(data).fleet)
             call.finish(Status.OK)
 
         listener = Listener({names.MEMBERSHIP_SAY: unary(say)}, WIDE, Server())
@@ -253,12 +253,12 @@
         plan = ControllerPlan("127.0.0.1:0", RosterSource(file="unused"), [], Place(0, 1))
         carrier = GroupCarrier(plan, GroupPlan("of a test", "a mark"), lambda given: None, None, {})
         carrier._post(address, platform.MemberMessage(fleet=b"first"))
-        await until(lambda: heard)
+        await until(lambda: received)
         listener.go_away(frozenset({names.MEMBERSHIP_SAY}))
         carrier._post(address, platform.MemberMessage(fleet=b"crossing"))
-        await until(lambda: len(heard) == 2)
+        await until(lambda: len(received) == 2)
         await asyncio.sleep(0.1)
-        assert heard == [b"first", b"crossing"]
+        assert received == [b"first", b"crossing"]
         carrier.stop()
         listener.close()
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""The platform's protocol without a socket: any split of the bytes, noise, and what no client may send."""
+"""The platform's protocol without sockets: arbitrary splits of the bytes, noise, and violations of the protocol."""
 
 import json
 import re
@@ -46,7 +46,7 @@
 
 
 @given(st.binary(max_size=600), CUTS)
-def test_noise_from_a_client_never_raises_what_is_no_named_error(data, cuts):
+def test_noise_from_a_client_raises_only_named_errors(data, cuts):
     link = fr.FrameLink(fr.RequestReader(DEPLOYMENT))
     try:
         for piece in pieces(data, cuts):
@@ -83,7 +83,7 @@
         {"once": "", "class": "publish"},
     ],
 )
-def test_fields_that_no_client_sends_end_the_connection_with_an_error_on_their_stream(change):
+def test_invalid_fields_end_the_connection_with_an_error_on_their_stream(change):
     link = fr.FrameLink(fr.RequestReader(DEPLOYMENT))
     with pytest.raises(fr.RequestError, match=f"expected .*{list(change)[0]}"):
         link.receive(asked(7, **change), 0.0)
@@ -91,7 +91,7 @@
     assert out[4] == fr.ANSWER and int.from_bytes(out[5:9], "big") == 7 and out[9] == fr.FAILED
 
 
-def test_one_number_twice_too_many_open_and_impossible_lengths_are_refused():
+def test_duplicate_numbers_too_many_open_requests_and_invalid_lengths_are_rejected():
     for data in (
         asked(1) + asked(1, id="c" * 16),
         (4).to_bytes(4, "big"),
@@ -104,7 +104,7 @@
             fr.FrameLink(fr.RequestReader(DEPLOYMENT)).receive(data, 0.0)
 
 
-def test_answers_once_each_and_shed_names_the_time():
+def test_each_request_is_answered_once_and_shed_carries_the_retry_time():
     link = fr.FrameLink(fr.RequestReader(DEPLOYMENT))
     link.receive(asked(1) + asked(2, id="d" * 16), 0.0)
     link.shed(1, 120.2)
@@ -123,7 +123,7 @@
 
 
 @given(CUTS, st.binary(max_size=200))
-def test_an_invokers_answers_are_the_same_however_cut_with_copies_and_strangers_between(cuts, body):
+def test_answers_of_an_invoker_are_the_same_however_cut_with_duplicates_and_unknown_ids_between(cuts, body):
     link = ln.InvokerLink(lambda: 0.0)
     run(link)
     assert link.outgoing()[0] == (
@@ -139,13 +139,13 @@
 
 
 @given(st.binary(max_size=400), CUTS)
-def test_noise_from_an_invoker_never_raises_what_is_no_named_error(data, cuts):
+def test_noise_from_an_invoker_raises_only_named_errors(data, cuts):
     link = ln.InvokerLink(lambda: 0.0)
     run(link)
     try:
         assert [a for piece in pieces(data, cuts) for a in link.receive(piece, 0.0)] == []
-    except ln.LineError as problem:
-        assert isinstance(problem, LinkError) and str(problem)
+    except ln.LineError as error:
+        assert isinstance(error, LinkError) and str(error)
 
 
 @pytest.mark.parametrize(
@@ -158,7 +158,7 @@
         b"9b1f03aa5c7e2d41 PONG - 0\r\n\r\n",
     ],
 )
-def test_good_answers_before_noise_count_and_lengths_told_are_never_awaited(noise):
+def test_valid_answers_before_noise_count_and_excessive_lengths_are_not_awaited(noise):
     link = ln.InvokerLink(lambda: 0.0)
     run(link)
     link.probe("p1", True)
@@ -170,7 +170,7 @@
         fresh.receive(noise, 0.0)
 
 
-def test_what_was_not_written_is_never_written_and_no_id_is_used_twice():
+def test_an_abandoned_request_is_never_written_and_no_id_is_used_twice():
     link = ln.InvokerLink(lambda: 0.0)
     run(link)
     assert link.give_up("9b1f03aa5c7e2d41") is False and link.outgoing()[0] == b""
@@ -179,7 +179,7 @@
     run(link, "e" * 16)
     link.outgoing()
     assert link.give_up("e" * 16) is True and link.outgoing()[0] == b"drop " + b"e" * 16 + b"\r\n"
-    # Late all the same: nobody waits for it.
+    # A late answer to an abandoned request is ignored.
     assert link.receive(b"e" * 16 + b" HIT - 0\r\n\r\n", 0.0) == []
 
 
@@ -201,44 +201,44 @@
 
 
 @given(CUTS, st.booleans())
-def test_the_channel_is_read_however_cut_and_chunked(cuts, chunked):
+def test_channel_events_are_the_same_however_cut_and_chunked(cuts, chunked):
     text = b': x\n\nid: 4\r\ndata: {"a":\r\ndata: 1}\r\n\r\n: y\n\nid:5\ndata:{}\n\nid: 6\ndata: {'
     body = b"".join(b"%x\r\n%b\r\n" % (len(text[n : n + 7]), text[n : n + 7]) for n in range(0, len(text), 7))
     head = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
     data = head + (b"Transfer-Encoding: chunked\r\n\r\n" + body if chunked else b"Connection: close\r\n\r\n" + text)
     link = FeedLink("127.0.0.1:1", 3)
     assert b"GET /cmd/next HTTP/1.1\r\n" in (out := link.outgoing()[0]) and b"Last-Event-ID: 3\r\n" in out
-    told = [told for piece in pieces(data, cuts) for told in link.receive(piece, 0.0)]
-    assert told == [ChannelEvent(4, b'{"a":\n1}'), ChannelEvent(5, b"{}")]
+    events = [event for piece in pieces(data, cuts) for event in link.receive(piece, 0.0)]
+    assert events == [ChannelEvent(4, b'{"a":\n1}'), ChannelEvent(5, b"{}")]
 
 
-def test_repeated_events_count_once_gaps_are_asked_for_and_bad_ones_leave_the_rest():
+def test_repeated_events_apply_once_gaps_are_requested_and_invalid_ones_change_nothing():
     roster = Roster()
     news = roster.restore(
         2, [event(1, True, host(), host("s-2")), event(2, False, host("s-2", health="draining"))], 0.0
     )
     assert [n.kind for n in news] == ["restored", "replace", "update"] and set(roster.places) == {"s-1", "s-2"}
 
-    def told(*args):
+    def apply(*args):
         return roster.apply(ChannelEvent(args[0], json.dumps(event(*args)).encode()), 5_000.0)
 
-    assert told(2, False, host("s-9")) == [] and told(4, False, host("s-9")) is None and roster.last == 2
+    assert apply(2, False, host("s-9")) == [] and apply(4, False, host("s-9")) is None and roster.last == 2
     with pytest.raises(EntryError, match="event 3: expected health"):
-        told(3, False, host(health="odd"))
-    [news] = told(3, False, host("s-2", health="removed"), host("s-3", born=4_000))
+        apply(3, False, host(health="odd"))
+    [news] = apply(3, False, host("s-2", health="removed"), host("s-3", born=4_000))
     assert [(row.invoker, row.status, row.age) for row in news.rows] == [
         ("s-2", "gone", None),
         ("s-3", "in service", 1000.0),
     ]
-    # A newcomer at an old address, and a process started afresh, are other places than what stood there.
+    # A new invoker at a known address, or a restarted process, is a different place than the previous one.
     before = roster.places["s-1"]
-    told(4, False, host(born=6_000))
+    apply(4, False, host(born=6_000))
     assert roster.places["s-1"] != before and "s-2" not in roster.places
-    told(9, True, host("s-4"))
+    apply(9, True, host("s-4"))
     assert list(roster.places) == ["s-4"] and roster.last == 9
 
 
-def test_settings_are_read_by_the_one_reading_and_bad_files_name_the_place():
+def test_settings_are_read_by_the_shared_parser_and_invalid_files_name_the_place():
     plan = read(json.dumps(configuration()).encode())
     assert [group.name for group in plan.deployment.groups] == ["call", "publish"] and plan.sockets == 256
     assert plan.deployment.groups[1].effect is it.Effect.DEDUPED and plan.deployment.may_order
@@ -273,20 +273,20 @@
         ("specifics.ramMbByKind", ["much"], "specifics.ramMbByKind as a number"),
     ],
 )
-def test_a_setting_out_of_its_range_or_of_the_wrong_kind_is_one_line_that_names_it(place, value, what):
-    # Taken silently, each of these broke a rule or the controller only later, far from its cause.
-    told = json.loads(json.dumps(SETTINGS))
-    *way, last = [int(name) if name.isdigit() else name for name in place.split(".")]
-    inner = told
-    for name in way:
+def test_a_setting_out_of_range_or_of_the_wrong_type_gives_a_one_line_error_that_names_it(place, value, what):
+    # Accepted silently, each of these broke a rule or the controller only later, far from the cause.
+    changed = json.loads(json.dumps(SETTINGS))
+    *path, last = [int(name) if name.isdigit() else name for name in place.split(".")]
+    inner = changed
+    for name in path:
         inner = inner[name]
     inner[last] = value
-    with pytest.raises(ConfigurationError, match=re.escape(what)) as problem:
-        read(json.dumps(configuration(settings=told)).encode())
-    assert "\n" not in str(problem.value)
+    with pytest.raises(ConfigurationError, match=re.escape(what)) as error:
+        read(json.dumps(configuration(settings=changed)).encode())
+    assert "\n" not in str(error.value)
 
 
-def test_a_list_of_objects_where_names_belong_is_refused_and_unknown_settings_are_passed_over():
+def test_an_object_in_place_of_a_list_of_names_is_rejected_and_unknown_settings_are_ignored():
     with pytest.raises(ConfigurationError, match="models"):
         read(json.dumps(configuration(settings={**SETTINGS, "models": {"std": 1}})).encode())
     known = read(json.dumps(configuration()).encode()).deployment
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -1,4 +1,4 @@
-"""System calls fail in the ways that Linux documents, at chosen calls, and wall clocks are stepped: all rules hold."""
+"""All rules hold when system calls fail as Linux documents, at chosen calls, and when wall clocks are stepped."""
 
 import asyncio
 import errno
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("error", ERRORS["accept"])
-def test_accept_that_fails_delays_a_connection_and_never_spins_the_loop(error):
+def test_a_failing_accept_delays_a_connection_and_never_spins_the_loop(error):
     async def scene():
         with faulty_sockets(Faults()) as faults:
             async with Scene(InvokerStandIn(), begin=faults.begin) as world:
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize("error", [errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS, errno.EMFILE, errno.ENFILE])
-def test_a_connect_that_fails_for_a_moment_costs_no_attempt(error):
+def test_a_transient_connect_error_costs_no_attempt(error):
     async def scene():
         with faulty_sockets(Faults()) as faults:
             one = InvokerStandIn()
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize("error", [errno.ENOBUFS, errno.EADDRNOTAVAIL, errno.EMFILE])
-def test_an_address_that_cant_be_had_for_a_moment_does_not_end_the_start(error, monkeypatch):
+def test_an_address_that_is_unavailable_for_a_moment_does_not_end_the_start(error, monkeypatch):
     listen, failures = Acceptor._listen, []
 
     def failing(self, *args):
@@ -109,7 +109,7 @@
         async with Scene(InvokerStandIn(), begin=lambda node: start_patiently(node, [])) as world:
             assert len(failures) == 4
             client = await world.warmed()
-            # One watch, however often the start was tried.
+            # One watch, no matter how often the start was retried.
             assert len(world.channel.asked) == 1
             client.close()
 
@@ -168,8 +168,8 @@
                     if chance.random() < 0.3:
                         await asyncio.sleep(0.02)
                 sent = time.monotonic()
-                gone = clients.pop()
-                gone.close()
+                disconnected = clients.pop()
+                disconnected.close()
                 for client in clients:
                     left = max(0.3, 1.6 - (time.monotonic() - sent))
                     answers = await client.answers(len(streams[client]) + 1, left)
@@ -177,11 +177,11 @@
                 assert not world.node.door.clients
             runs = Counter(tag for one in invokers for tag in one.runs())
             assert all(runs[name] <= 1 + missed[name] for name, group in groups.items() if group == "once")
-            of_gone = {f"{stream - 1:016x}" for stream in streams[gone]}
-            # By what the controller's socket took: a stand-in of this process may read it later.
+            of_disconnected = {f"{stream - 1:016x}" for stream in streams[disconnected]}
+            # Judged by what the socket of the controller accepted: a stand-in in this process may read it later.
             begun = faults.attempts()
             assert {tag for tag, _ in begun} >= {tag for one in invokers for tag in one.runs()}
-            assert not [tag for tag, at in begun if tag in of_gone and at > sent + 0.1]
+            assert not [tag for tag, at in begun if tag in of_disconnected and at > sent + 0.1]
             assert all(1 <= limit <= 1200 for one in invokers for limit in one.limits())
 
     played(scene)
@@ -216,29 +216,29 @@
     played(scene)
 
 
-def told(number, born, whole=False, name="s-1"):
+def event_of(number, born, whole=False, name="s-1"):
     data = event(number, (name, 9, "up"), whole=whole, born=born)
     return ChannelEvent(number, data.split(b"data: ")[1].strip())
 
 
 @pytest.mark.parametrize("ahead", [-HOUR, HOUR, 0.0])
-def test_a_clock_that_was_wrong_at_the_start_makes_no_cold_invoker_warm(ahead):
+def test_a_wrong_clock_at_the_start_does_not_make_a_cold_invoker_warm(ahead):
     true, roster = 1e12, Roster()
     own = true + ahead * 1000.0
     hosts = entry(1, ("s-1", 9, "up"), whole=True, born=int(true - 4_000))
     [_, news] = roster.restore(1, [hosts], own)
     assert 0 <= news.rows[0].age <= 4_000
-    # Told later of one that is just born: it was in no list before.
-    [news] = roster.apply(told(2, int(true + 9_000), name="s-2"), own + 10_000)
+    # An invoker reported later as just started: it was in no list before.
+    [news] = roster.apply(event_of(2, int(true + 9_000), name="s-2"), own + 10_000)
     assert 0 <= news.rows[0].age <= 1_000 + (4_000 if ahead else 0)
 
 
-def test_an_invoker_told_late_of_is_no_older_than_it_can_be():
+def test_an_invoker_reported_late_is_no_older_than_it_can_be():
     roster = Roster()
     roster.restore(1, [], 1e12)
-    [news] = roster.apply(told(2, int(1e12 - HOUR * 1000.0), whole=True), 1e12 + 2_000)
+    [news] = roster.apply(event_of(2, int(1e12 - HOUR * 1000.0), whole=True), 1e12 + 2_000)
     assert news.rows[0].age == 0.0
     roster = Roster()
     roster.restore(1, [], 1e12)
-    [news] = roster.apply(told(2, int(1e12 - 3_000)), 1e12 + 2_000)
+    [news] = roster.apply(event_of(2, int(1e12 - 3_000)), 1e12 + 2_000)
     assert news.rows[0].age == 5_000 < MAX_START_REPORT_DELAY_MS
--- a/tests/test_threads.py
+++ b/tests/test_threads.py
@@ -1,4 +1,4 @@
-"""Several event loops in one process, one a thread: what one reads never reaches the connections of another."""
+"""Several event loops in one process, one per thread: data read by one never reaches the connections of another."""
 
 import asyncio
 import socket
@@ -10,11 +10,11 @@
 
 pytestmark = pytest.mark.sockets
 
-PATIENCE = 5.0
+TIMEOUT_SECONDS = 5.0
 
 
-class HeldSocket(socket.socket):
-    """Between a read from the system and its return to the event loop, `after_read` is called."""
+class HookedSocket(socket.socket):
+    """Calls `after_read` between a read from the system and its return to the event loop."""
 
     after_read = staticmethod(lambda: None)
 
@@ -24,17 +24,17 @@
         return count
 
 
-class HeardLink:
+class RecordingLink:
     """Keeps the bytes that it receives."""
 
     more = False
 
     def __init__(self):
-        self.heard = b""
+        self.received = b""
 
     def receive(self, data, now):
-        self.heard += bytes(data)
-        return [self.heard]
+        self.received += bytes(data)
+        return [self.received]
 
     def outgoing(self, data_too=True):
         return b"", ()
@@ -43,51 +43,51 @@
         pass
 
 
-def reader(sock, heard, ready):
-    """A thread with an event loop that reads one piece from the socket."""
+def reader(sock, received, ready):
+    """A thread with an event loop that reads once from the socket."""
 
     async def read():
         done = asyncio.Event()
-        link = HeardLink()
+        link = RecordingLink()
         wire = Wire(link, lambda wire, events: done.set(), lambda wire, why: None)
         await asyncio.get_running_loop().create_connection(lambda: wire, sock=sock)
         ready.set()
-        await asyncio.wait_for(done.wait(), PATIENCE)
-        heard.append(link.heard)
+        await asyncio.wait_for(done.wait(), TIMEOUT_SECONDS)
+        received.append(link.received)
         wire.end("read", at_once=True)
 
     return threading.Thread(target=lambda: asyncio.run(read()), daemon=True)
 
 
-def held_pair():
-    here, there = socket.socketpair()
-    return here, HeldSocket(there.family, there.type, fileno=there.detach())
+def hooked_pair():
+    near, far = socket.socketpair()
+    return near, HookedSocket(far.family, far.type, fileno=far.detach())
 
 
-def test_a_loop_that_reads_while_another_has_read_but_not_yet_taken_it_changes_nothing_of_it():
-    first, first_held = held_pair()
-    second, second_held = held_pair()
+def test_a_read_in_one_loop_does_not_overwrite_data_that_another_loop_has_read_but_not_processed():
+    first, first_hooked = hooked_pair()
+    second, second_hooked = hooked_pair()
     first_has_read, second_has_read = threading.Event(), threading.Event()
 
     def hold_first():
         first_has_read.set()
-        assert second_has_read.wait(PATIENCE)
+        assert second_has_read.wait(TIMEOUT_SECONDS)
 
-    first_held.after_read = hold_first
-    second_held.after_read = second_has_read.set
-    first_heard, second_heard = [], []
+    first_hooked.after_read = hold_first
+    second_hooked.after_read = second_has_read.set
+    first_received, second_received = [], []
     threads = []
-    for sock, heard in ((first_held, first_heard), (second_held, second_heard)):
+    for sock, received in ((first_hooked, first_received), (second_hooked, second_received)):
         ready = threading.Event()
-        threads.append(reader(sock, heard, ready))
+        threads.append(reader(sock, received, ready))
         threads[-1].start()
-        assert ready.wait(PATIENCE)
+        assert ready.wait(TIMEOUT_SECONDS)
     first.sendall(b"for the first")
-    assert first_has_read.wait(PATIENCE)
+    assert first_has_read.wait(TIMEOUT_SECONDS)
     second.sendall(b"AND FOR THE SECOND")
     for thread in threads:
-        thread.join(PATIENCE)
-    assert first_heard == [b"for the first"]
-    assert second_heard == [b"AND FOR THE SECOND"]
+        thread.join(TIMEOUT_SECONDS)
+    assert first_received == [b"for the first"]
+    assert second_received == [b"AND FOR THE SECOND"]
     first.close()
     second.close()
