--- a/benchmarks/whole_controller.py
+++ b/benchmarks/whole_controller.py
@@ -27,7 +27,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parents[1] / "tests"))
 
 from platform_scene import entry, event, hit, lines_of  # noqa: E402
-from platform_world import SETTINGS, asked, configuration  # noqa: E402
+from platform_world import SETTINGS, configuration, request_frame  # noqa: E402
 
 USUAL, RATE, MODELS, STEPS = 200, 15.0, 400, 20
 ANSWER, RETURNED = 17, 0
@@ -183,7 +183,7 @@
         number += 1
         # A few favourites, many rare ones.
         model = int(MODELS * chance.random() ** 3)
-        writer.write(asked(number, id=f"{number:016x}", key=f"{model:016x}"))
+        writer.write(request_frame(number, id=f"{number:016x}", key=f"{model:016x}"))
     await asyncio.sleep(2.0)
     hearing.cancel()
     writer.close()
--- a/sprucespool/node/channel.py
+++ b/sprucespool/node/channel.py
@@ -45,7 +45,7 @@
         self.task: asyncio.Task | None = None
         self.failures = self.counter = self.connected = 0
         # When all that discovery had to tell was last heard (ms); None before the first time.
-        self.heard_at: float | None = None
+        self.up_to_date_at: float | None = None
         self.began = self.now()
         self.in_touch = True
         # Readings of the next event that failed.
@@ -99,13 +99,13 @@
 
     def unheard_for(self) -> float:
         """For how long the list may have missed changes (ms)."""
-        return self.now() - (self.began if self.heard_at is None else self.heard_at)
+        return self.now() - (self.began if self.up_to_date_at is None else self.up_to_date_at)
 
     def _note_contact(self, now: float):
         times = [wire.link.current_at for wire in self.watches if isinstance(wire.link, FeedLink)]
         latest = max((at for at in times if at is not None), default=None)
-        if latest is not None and (self.heard_at is None or latest > self.heard_at):
-            unheard, self.heard_at = self.unheard_for(), latest
+        if latest is not None and (self.up_to_date_at is None or latest > self.up_to_date_at):
+            unheard, self.up_to_date_at = self.unheard_for(), latest
             self.heard(now - latest)
             if not self.in_touch:
                 self.in_touch = True
--- a/sprucespool/node/clients.py
+++ b/sprucespool/node/clients.py
@@ -42,7 +42,7 @@
 
     __slots__ = ("front", "wire", "link", "idle_since", "unread_since", "calls", "_waited")
 
-    def __init__(self, front: Front, waited: float):
+    def __init__(self, front: ClientListener, waited: float):
         self.front = front
         # How long the connection may have waited to be accepted; None once something was read.
         self._waited: float | None = waited
@@ -112,7 +112,7 @@
             wire.end("idle")
 
 
-class Front:
+class ClientListener:
     """The listener for clients."""
 
     def __init__(
--- a/sprucespool/node/door.py
+++ b/sprucespool/node/gateway_server.py
@@ -14,7 +14,7 @@
 from sprucespool.gateway import Gateway
 from sprucespool.gateway import messages as ms
 from sprucespool.transport.clock import AnchoredClock
-from sprucespool.node.clients import Front, Peer
+from sprucespool.node.clients import ClientListener, Peer
 from sprucespool.node.invokers import Ask, Invoker
 from sprucespool.node.logs import Log
 from sprucespool.node.reports import Reports
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Client:
+class _Call:
     """One inference of a client."""
 
     call: str
@@ -48,28 +48,30 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Out:
+class _Forward:
     """One forward, with the result that waits until it is known whose it is."""
 
-    client: _Client
+    client: _Call
     invoker: str
     ask: Ask | None = None
     body: bytes = b""
 
 
-class Door:
+class GatewayServer:
     """The gateway's port, and what clients' requests mean."""
 
     def __init__(self, plan: Configuration, log: Log, clock: AnchoredClock):
         self.plan, self.log, self.clock = plan, log, clock
         self.gateway = Gateway(plan.deployment, plan.seed, self._effect)
-        self.turn = Turn(self.gateway.take, self._after)
-        self.loop = self.turn.loop
+        self.batch = Turn(self.gateway.take, self._after)
+        self.loop = self.batch.loop
         self.roster = Roster()
-        self.front = Front(Terms(plan.deployment), self, log, plan.sockets, plan.memory_mb, self.turn.pace.unread)
-        self.clients: dict[str, _Client] = {}
-        self.ids: dict[str, _Client] = {}
-        self.out: dict[int, _Out] = {}
+        self.listener = ClientListener(
+            Terms(plan.deployment), self, log, plan.sockets, plan.memory_mb, self.batch.pace.unread
+        )
+        self.calls: dict[str, _Call] = {}
+        self.ids: dict[str, _Call] = {}
+        self.in_flight: dict[int, _Forward] = {}
         self.ordered: dict[int, Ask] = {}
         # Forwards whose end is told: their results may be wanted until the gateway took it, and never after.
         self.ended: list[int] = []
@@ -81,18 +83,18 @@
         self.ready = False
         # When the program must have answered all it owes; none while it is not told to end.
         self.until: float | None = None
-        self.reports = Reports(log, self.gateway.counts, self._status, self.turn.now())
+        self.reports = Reports(log, self.gateway.counts, self._status, self.batch.now())
         # For how long discovery was not heard (ms), for the log.
         self.unheard_for: Callable[[], float] = lambda: 0.0
         self.look = self.loop.call_later(LOOK_EVERY, self._look)
 
     def _status(self) -> dict[str, Any]:
-        return {"owed": len(self.clients), "invokers": len(self.roster.places), "unheard_ms": round(self.unheard_for())}
+        return {"owed": len(self.calls), "invokers": len(self.roster.places), "unheard_ms": round(self.unheard_for())}
 
     def _after(self):
         ended, self.ended = self.ended, []
         for number in ended:
-            self.out.pop(number, None)
+            self.in_flight.pop(number, None)
 
     def _effect(self, effect: ms.Effect):
         EFFECTS[type(effect)](self, effect)
@@ -102,17 +104,17 @@
     def start(self) -> None:
         """What the configuration knows of the invokers."""
         for news in self.roster.known(self.plan.cursor, self.plan.commands, self.clock.unix_ms()):
-            self.rostered(news)
+            self.apply_roster(news)
         self.discovery_heard(None)
         self.ready = True
 
-    def rostered(self, news: ms.Roster) -> None:
+    def apply_roster(self, news: ms.Roster) -> None:
         for name, invoker in list(self.invokers.items()):
             # Against a newcomer at an old address, or a process started afresh, that inherits connections.
             if self.roster.places.get(name) != invoker.place:
                 del self.invokers[name]
                 self.leaving[invoker] = None
-        self.turn.tell(news)
+        self.batch.tell(news)
         for row in news.rows:
             listed = self.invokers.get(row.invoker)
             if listed is None:
@@ -126,7 +128,7 @@
 
     def discovery_heard(self, age: float | None) -> None:
         """So long ago (ms) nothing was left untold; None: not yet since the start."""
-        self.turn.tell(ms.DiscoveryHeard(age))
+        self.batch.tell(ms.DiscoveryHeard(age))
 
     def invoker(self, name: str) -> Invoker | None:
         place = self.roster.places.get(name)
@@ -147,8 +149,8 @@
                 self.plan.streams,
                 self.plan.seed + 7919 * self.numbers,
                 lambda what, why: self.log.debug(what, invoker=name, why=why),
-                lambda: self.turn.tell(ms.Disconnected(name)),
-                self.turn.pace,
+                lambda: self.batch.tell(ms.Disconnected(name)),
+                self.batch.pace,
             )
         return self.invokers[name]
 
@@ -158,15 +160,15 @@
         """False where the id is that of an open inference: whose answer would it be?"""
         if request.id in self.ids:
             return False
-        now = self.turn.now()
+        now = self.batch.now()
         if self.held + len(request.body) > self.most_held:
             self.turned_away += 1
             self.log.info("turned away", why="too much is held here", held=self.held)
             peer.link.shed(request.stream, 0.0)
             peer.answered(request.stream)
             return True
-        unread = self.turn.pace.unread_on(peer.waited)
-        ttl = request.ttl - max(self.turn.lag, unread)
+        unread = self.batch.pace.unread_on(peer.waited)
+        ttl = request.ttl - max(self.batch.lag, unread)
         if self.until is not None:
             ttl = min(ttl, self.until - now)
         self.numbers += 1
@@ -183,23 +185,23 @@
             request.repeat,
             waited=unread,
         )
-        client = _Client(given.call, peer, request, given, now, now + ttl)
+        client = _Call(given.call, peer, request, given, now, now + ttl)
         peer.calls[request.stream] = client
-        self.clients[given.call] = self.ids[request.id] = client
+        self.calls[given.call] = self.ids[request.id] = client
         self.held += len(request.body)
-        self.turn.tell(given)
+        self.batch.tell(given)
         return True
 
     def taken_back(self, peer: Peer, stream: int) -> None:
         client = peer.calls.pop(stream, None)
-        if isinstance(client, _Client):
+        if isinstance(client, _Call):
             # Hundreds taken back at once are not worth a look of the module each.
-            if not self.turn.withdraw(client.given):
-                self.turn.tell(ms.Left(client.call))
+            if not self.batch.withdraw(client.given):
+                self.batch.tell(ms.Left(client.call))
             self._done(client, "left")
 
-    def _done(self, client: _Client, how: str):
-        if self.clients.pop(client.call, None) is None:
+    def _done(self, client: _Call, how: str):
+        if self.calls.pop(client.call, None) is None:
             return
         del self.ids[client.request.id]
         self.held -= len(client.request.body)
@@ -210,13 +212,13 @@
                 model=client.request.model,
                 group=client.request.group,
                 end=how,
-                ms=round(self.turn.now() - client.since, 1),
+                ms=round(self.batch.now() - client.since, 1),
                 ttl=client.request.ttl,
                 forwards=",".join(client.forwards) or "-",
             )
 
-    def _answer(self, call: str, how: str, write: Callable[[_Client], None]):
-        client = self.clients.get(call)
+    def _answer(self, call: str, how: str, write: Callable[[_Call], None]):
+        client = self.calls.get(call)
         if client is None:
             return
         self._done(client, how)
@@ -226,7 +228,7 @@
             client.peer.answered(stream)
 
     def _returned(self, effect: ms.AnswerReturned):
-        out = self.out.pop(effect.forward, None)
+        out = self.in_flight.pop(effect.forward, None)
         if out is not None:
             self._answer(
                 effect.call, "returned", lambda client: client.peer.link.returned(client.request.stream, out.body)
@@ -243,14 +245,14 @@
     # Invokers
 
     def _forward(self, effect: ms.SendForward):
-        client, invoker = self.clients.get(effect.call), self.invoker(effect.invoker)
+        client, invoker = self.calls.get(effect.call), self.invoker(effect.invoker)
         if client is None or invoker is None:
             # The client or the invoker left in this very turn of the loop.
-            return self.turn.tell(ms.ForwardEnded(effect.forward, it.Outcome.NOT_SENT.value))
-        out = self.out[effect.forward] = _Out(client, effect.invoker)
+            return self.batch.tell(ms.ForwardEnded(effect.forward, it.Outcome.NOT_SENT.value))
+        out = self.in_flight[effect.forward] = _Forward(client, effect.invoker)
         request = client.request
         client.forwards.append(effect.invoker)
-        now, dep = self.turn.now(), self.plan.deployment
+        now, dep = self.batch.now(), self.plan.deployment
         deadline = min(now + effect.time_out, client.deadline)
         # Decided so long ago, it might reach an invoker that no longer drops it as a repeat.
         write_by = min(effect.write_by, now + dep.connect_timeout + dep.answer_slack)
@@ -260,11 +262,11 @@
                 request.id, request.group, request.model, deadline, request.once, request.body, write_by
             ),
             lambda end: self._heard(effect.forward, out, end),
-            lambda: effect.call in self.clients,
+            lambda: effect.call in self.calls,
         )
 
-    def _heard(self, number: int, out: _Out, end: Answer | it.Outcome):
-        if number not in self.out:
+    def _heard(self, number: int, out: _Forward, end: Answer | it.Outcome):
+        if number not in self.in_flight:
             return
         self.ended.append(number)
         if isinstance(end, Answer):
@@ -272,7 +274,7 @@
                 self.reports.turned_away(out.invoker, out.client.request.id)
             out.body = end.body
             told = self.plan.deployment.tells_same_model and end.outcome in (it.Outcome.RETURNED, it.Outcome.FULL)
-            self.turn.tell(
+            self.batch.tell(
                 ms.ForwardEnded(
                     number,
                     end.outcome.value,
@@ -283,7 +285,7 @@
                 )
             )
         else:
-            self.turn.tell(ms.ForwardEnded(number, end.value))
+            self.batch.tell(ms.ForwardEnded(number, end.value))
         if self.log.debugging:
             outcome = end.outcome if isinstance(end, Answer) else end
             self.log.debug(
@@ -292,11 +294,11 @@
                 invoker=out.invoker,
                 end=outcome.value,
                 found=end.found.value if isinstance(end, Answer) else "-",
-                ms=round(self.turn.now() - (out.ask.at if out.ask else 0.0), 1),
+                ms=round(self.batch.now() - (out.ask.at if out.ask else 0.0), 1),
             )
 
     def _recall(self, effect: ms.Recall):
-        out = self.out.pop(effect.forward, None)
+        out = self.in_flight.pop(effect.forward, None)
         if out is not None and out.ask is not None:
             out.ask.give_up()
 
@@ -318,10 +320,10 @@
             standing = end.standing if isinstance(end, Answer) else 0
             outcome = end.outcome if isinstance(end, Answer) else end
             self.log.debug("order", invoker=effect.invoker, model=effect.model, end=outcome.value, standing=standing)
-            self.turn.tell(ms.OrderEnded(effect.order, outcome.value, standing))
+            self.batch.tell(ms.OrderEnded(effect.order, outcome.value, standing))
 
         # Like a run: what was allowed so long ago may not be allowed any more.
-        write_by = self.turn.now() + self.plan.deployment.connect_timeout
+        write_by = self.batch.now() + self.plan.deployment.connect_timeout
 
         def write(link: InvokerLink):
             link.order(tag, effect.model, effect.copies, write_by)
@@ -334,7 +336,7 @@
 
         def ended(end: Answer | it.Outcome):
             outcome = end.outcome if isinstance(end, Answer) else end
-            self.turn.tell(ms.ProbeEnded(effect.probe, outcome.value, end.report if isinstance(end, Answer) else {}))
+            self.batch.tell(ms.ProbeEnded(effect.probe, outcome.value, end.report if isinstance(end, Answer) else {}))
 
         self._ask(effect.probe, effect.invoker, tag, lambda link: link.probe(tag, bool(fields)), ended)
         ask = self.ordered.get(effect.probe)
@@ -345,7 +347,7 @@
         if self.ordered.get(number) is ask:
             del self.ordered[number]
             ask.give_up()
-            self.turn.tell(ms.ProbeEnded(number, it.Outcome.TIMED_OUT.value))
+            self.batch.tell(ms.ProbeEnded(number, it.Outcome.TIMED_OUT.value))
 
     def _unload(self, effect: ms.SendUnload):
         invoker = self.invoker(effect.invoker)
@@ -368,8 +370,8 @@
             if invoker.quiet:
                 invoker.close()
                 del self.leaving[invoker]
-        self.reports.look(self.turn.now())
-        late = self.turn.now() - 2 * self.plan.deployment.order_timeout
+        self.reports.look(self.batch.now())
+        late = self.batch.now() - 2 * self.plan.deployment.order_timeout
         for number, ask in list(self.ordered.items()):
             if ask.at < late:
                 # The gateway stopped waiting for this order long ago.
@@ -380,38 +382,38 @@
 
     def fail_the_rest(self) -> int:
         """What is owed at the very end is failed; gives how many that were."""
-        left = list(self.clients.values())
+        left = list(self.calls.values())
         for client in left:
             self._fail(client.call, "failed at the end")
-        for out in self.out.values():
+        for out in self.in_flight.values():
             if out.ask is not None:
                 out.ask.give_up()
         return len(left)
 
     def close(self) -> None:
         self.look.cancel()
-        self.turn.close()
+        self.batch.close()
         for invoker in [*self.invokers.values(), *self.leaving]:
             invoker.close()
-        self.front.close()
+        self.listener.close()
 
 
 EFFECTS: dict[type, Callable] = {
-    ms.SendForward: Door._forward,
-    ms.Recall: Door._recall,
-    ms.AnswerReturned: Door._returned,
-    ms.AnswerShed: Door._shed,
-    ms.AnswerFailed: lambda door, effect: door._fail(effect.call, "failed"),
-    ms.Rejected: lambda door, effect: door._fail(effect.call, "rejected"),
-    ms.SendOrder: Door._order,
-    ms.SendUnload: Door._unload,
-    ms.SendProbe: Door._probe,
-    ms.CloseIdle: Door._close_idle,
-    ms.Note: Door._note,
-    ms.WakeAt: lambda door, effect: door.turn.wake_at(effect.at),
+    ms.SendForward: GatewayServer._forward,
+    ms.Recall: GatewayServer._recall,
+    ms.AnswerReturned: GatewayServer._returned,
+    ms.AnswerShed: GatewayServer._shed,
+    ms.AnswerFailed: lambda server, effect: server._fail(effect.call, "failed"),
+    ms.Rejected: lambda server, effect: server._fail(effect.call, "rejected"),
+    ms.SendOrder: GatewayServer._order,
+    ms.SendUnload: GatewayServer._unload,
+    ms.SendProbe: GatewayServer._probe,
+    ms.CloseIdle: GatewayServer._close_idle,
+    ms.Note: GatewayServer._note,
+    ms.WakeAt: lambda server, effect: server.batch.wake_at(effect.at),
     # The platform tells of invokers unasked, and carries nothing between controllers or in streams.
-    ms.SubscribeRoster: lambda door, effect: None,
-    ms.FetchRoster: lambda door, effect: None,
-    ms.SendMessage: lambda door, effect: None,
-    ms.BeliefsGiven: lambda door, effect: None,
+    ms.SubscribeRoster: lambda server, effect: None,
+    ms.FetchRoster: lambda server, effect: None,
+    ms.SendMessage: lambda server, effect: None,
+    ms.BeliefsGiven: lambda server, effect: None,
 }
--- a/sprucespool/node/serve.py
+++ b/sprucespool/node/serve.py
@@ -16,7 +16,7 @@
 from sprucespool import interface as it
 from sprucespool.node.channel import Channel
 from sprucespool.transport.clock import AnchoredClock
-from sprucespool.node.door import Door
+from sprucespool.node.gateway_server import GatewayServer
 from sprucespool.node.logs import Log
 from sprucespool.relay.configuration import Configuration, ConfigurationError, read
 from sprucespool.relay.feed import EntryError
@@ -55,25 +55,25 @@
         self.path, self.plan, self.log = path, plan, log
         self.clock = clock or AnchoredClock()
         self.loop = asyncio.get_running_loop()
-        self.door = Door(plan, log, self.clock)
+        self.server = GatewayServer(plan, log, self.clock)
         self.channel: Channel | None = None
         self.reading: asyncio.TimerHandle | None = None
 
     async def start(self) -> int:
         """Gives the port. Raises OSError where the address can't be had, EntryError for a list that can't be used."""
-        self.door.start()
-        port = await self.door.front.start(self.plan.host, self.plan.port)
+        self.server.start()
+        port = await self.server.listener.start(self.plan.host, self.plan.port)
         self.channel = Channel(
             self.plan.channel_host,
             self.plan.channel_port,
-            self.door.roster,
-            self.door.rostered,
-            self.door.discovery_heard,
+            self.server.roster,
+            self.server.apply_roster,
+            self.server.discovery_heard,
             self.log,
             self.plan.seed,
             self.clock,
         )
-        self.door.unheard_for = self.channel.unheard_for
+        self.server.unheard_for = self.channel.unheard_for
         return port
 
     def reread(self, tries: int = 0) -> None:
@@ -96,12 +96,12 @@
     async def stop(self) -> int:
         """Go on while clients still come, answer what is owed; gives how many were failed for want of time."""
         due = self._now() + answers_due(self.plan.deployment)
-        self.door.until = due - FINAL_ANSWERS
+        self.server.until = due - FINAL_ANSWERS
         await asyncio.sleep(STILL_COMING / 1000.0)
-        self.door.ready = False
-        self.door.front.no_more()
+        self.server.ready = False
+        self.server.listener.no_more()
         await self._until_quiet(due)
-        left = self.door.fail_the_rest()
+        left = self.server.fail_the_rest()
         await self._until_quiet(min(due + FINAL_ANSWERS, self._now() + QUIET))
         self.close()
         await asyncio.sleep(0.05)
@@ -112,12 +112,12 @@
 
     async def _until_quiet(self, until: float):
         """Nothing owed, nothing on its way in or out, for a while; at the longest until the time given."""
-        front = self.door.front
+        front = self.server.listener
         quiet_since = self._now()
         while self._now() < until and self._now() - quiet_since < QUIET:
             await asyncio.sleep(POLL)
             front.acceptor.accept_waiting()
-            if self.door.clients or front.acceptor.busy or front.half_received or front.unwritten:
+            if self.server.calls or front.acceptor.busy or front.half_received or front.unwritten:
                 quiet_since = self._now()
 
     def close(self) -> None:
@@ -125,7 +125,7 @@
             self.reading.cancel()
         if self.channel is not None:
             self.channel.close()
-        self.door.close()
+        self.server.close()
 
 
 class StartPatience:
@@ -140,7 +140,7 @@
         return passing and time.monotonic() <= self._until
 
 
-async def start_patiently(node: Node, early: list[int]) -> int:
+async def start_with_retries(node: Node, early: list[int]) -> int:
     """Start; what fails for want of something on this machine is tried again for a while."""
     patience = StartPatience()
     while True:
@@ -157,7 +157,7 @@
     ending = asyncio.Event()
     node = Node(path, plan, log)
     try:
-        port = await start_patiently(node, early)
+        port = await start_with_retries(node, early)
     except EntryError as problem:
         print(f"RELAY_CONFIG {path}: known: {problem}", file=sys.stderr)
         node.close()
@@ -177,7 +177,7 @@
         "listening",
         address=f"{plan.host}:{port}",
         name=plan.name,
-        invokers=len(node.door.roster.places),
+        invokers=len(node.server.roster.places),
         memory_mb=plan.memory_mb,
         sockets=plan.sockets,
     )
@@ -186,17 +186,17 @@
     gc.freeze()
     gc.set_threshold(20_000, 20, 100)
     await ending.wait()
-    log.info("stopping", owed=len(node.door.clients))
+    log.info("stopping", owed=len(node.server.calls))
     left = await node.stop()
     log.info(
         "stopped",
         failed_at_the_end=left,
-        turned_away=node.door.turned_away,
-        accepted=node.door.front.accepted,
-        cut=node.door.front.bad,
-        evicted=node.door.front.evicted,
+        turned_away=node.server.turned_away,
+        accepted=node.server.listener.accepted,
+        cut=node.server.listener.bad,
+        evicted=node.server.listener.evicted,
         channel=node.channel and node.channel.connected,
-        counts=json.dumps(node.door.gateway.counts.as_dict()),
+        counts=json.dumps(node.server.gateway.counts.as_dict()),
     )
     return 0
 
--- a/tests/platform_scene.py
+++ b/tests/platform_scene.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from platform_world import asked, configuration
+from platform_world import configuration, request_frame
 
 from sprucespool.transport.clock import AnchoredClock
 from sprucespool.node.logs import Log
@@ -146,7 +146,7 @@
     """Writes what it is told to, on the watches that stand; comments only when told to."""
 
     def __init__(self):
-        self.asked: list[str] = []
+        self.last_event_ids: list[str] = []
         self.writers: list[asyncio.StreamWriter] = []
         self.over: set[asyncio.StreamWriter] = set()
         self.answers = True
@@ -161,7 +161,9 @@
             head = await reader.readuntil(b"\r\n\r\n")
         except (asyncio.IncompleteReadError, ConnectionError):
             return
-        self.asked.append(next(line for line in head.decode().split("\r\n") if line.startswith("Last-Event-ID"))[15:])
+        self.last_event_ids.append(
+            next(line for line in head.decode().split("\r\n") if line.startswith("Last-Event-ID"))[15:]
+        )
         self.writers.append(writer)
         if self.answers:
             self.begin(writer)
@@ -174,7 +176,7 @@
     def begin(self, writer):
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: here\n\n")
 
-    def tell(self, data: bytes, watch: int = -1):
+    def send(self, data: bytes, watch: int = -1):
         self.writers[watch].write(data)
 
     def ended(self, watch: int) -> bool:
@@ -301,22 +303,25 @@
         self.node = Node("", read(json.dumps(told).encode()), Log("error"), self.clock)
         self.port = await self.begin(self.node)
         # Discovery is heard, and the decisions know it: else invokers are checked before they are sent to.
-        await until(lambda: self.channel.asked and self.node.channel and self.node.channel.heard_at is not None, 10.0)
+        await until(
+            lambda: self.channel.last_event_ids and self.node.channel and self.node.channel.up_to_date_at is not None,
+            10.0,
+        )
         await asyncio.sleep(0.01)
         return self
 
     async def client(self, receive_buffer: int = 0) -> RawClient:
         """A client whose connection the controller has accepted."""
-        accepted = self.node.door.front.accepted
+        accepted = self.node.server.listener.accepted
         client = RawClient(self.port, receive_buffer)
-        while self.node.door.front.accepted == accepted:
+        while self.node.server.listener.accepted == accepted:
             await asyncio.sleep(0.005)
         return client
 
     async def warmed(self) -> RawClient:
         """A client, with a connection to the first invoker standing and idle."""
         client = await self.client()
-        client.send(asked(1, id="f" * 16))
+        client.send(request_frame(1, id="f" * 16))
         assert await client.answers(1) == [(17, 1, 0)]
         return client
 
@@ -334,5 +339,5 @@
             await asyncio.sleep(0.005)
 
 
-def played(scene):
+def run_scene(scene):
     asyncio.run(asyncio.wait_for(scene(), 25))
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -109,5 +109,5 @@
     return (5 + len(payload)).to_bytes(4, "big") + bytes((kind,)) + stream.to_bytes(4, "big") + payload
 
 
-def asked(stream, body=b"", **change):
+def request_frame(stream, body=b"", **change):
     return frame(16, stream, written({**REQUEST, **change}) + body)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -8,8 +8,8 @@
 
 import pytest
 from faulty_sockets import Faults, faulty_sockets
-from platform_scene import ChannelStandIn, InvokerStandIn, RawClient, Scene, entry, event, hit, played, until
-from platform_world import SETTINGS, asked, frame, settings_of_all_effects
+from platform_scene import ChannelStandIn, InvokerStandIn, RawClient, Scene, entry, event, hit, run_scene, until
+from platform_world import SETTINGS, frame, request_frame, settings_of_all_effects
 
 from sprucespool.daemon.door import Door
 from sprucespool.gateway import messages as ms
@@ -45,13 +45,13 @@
         async with Scene(InvokerStandIn()) as world:
             await world.warmed()
             client = await world.client()
-            client.send(asked(1))
+            client.send(request_frame(1))
             client.close(reset)
             time.sleep(STALL)
             await asyncio.sleep(0.3)
-            assert world.invokers[0].runs() == ["f" * 16] and not world.node.door.clients
+            assert world.invokers[0].runs() == ["f" * 16] and not world.node.server.calls
 
-    played(scene)
+    run_scene(scene)
 
 
 @pytest.mark.parametrize("reset", [False, True])
@@ -63,10 +63,10 @@
             others = [await world.warmed(), await world.client(), await world.client()]
             for round_ in range(5):
                 newcomer = RawClient(world.port)
-                newcomer.send(asked(1, id=f"{round_:x}" + "e" * 15))
+                newcomer.send(request_frame(1, id=f"{round_:x}" + "e" * 15))
                 newcomer.close(reset)
                 for number, other in enumerate(others):
-                    other.send(asked(round_ + 2, id=f"{round_:x}" + f"{number}" * 15))
+                    other.send(request_frame(round_ + 2, id=f"{round_:x}" + f"{number}" * 15))
                 time.sleep(STALL)
                 for other in others:
                     assert await other.answers(1) == [(17, round_ + 2, 0)]
@@ -74,20 +74,20 @@
             assert not [run for run in world.invokers[0].runs() if run.endswith("e" * 15)]
             assert len(world.invokers[0].runs()) == 1 + 5 * len(others)
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_a_cancel_read_behind_its_request_after_a_stall_has_no_attempt_begun():
     async def scene():
         async with Scene(InvokerStandIn()) as world:
             client = await world.warmed()
-            client.send(asked(2))
+            client.send(request_frame(2))
             client.send(frame(18, 2))
             time.sleep(STALL)
             await asyncio.sleep(0.3)
             assert world.invokers[0].runs() == ["f" * 16]
 
-    played(scene)
+    run_scene(scene)
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "cancel", "half-close"])
@@ -95,21 +95,21 @@
     async def scene():
         async with Scene(InvokerStandIn(full=True), **LATE_CONNECT) as world:
             client = await world.client()
-            client.send(asked(1))
-            await until(lambda: world.node.door.out)
+            client.send(request_frame(1))
+            await until(lambda: world.node.server.in_flight)
             if how == "cancel":
                 client.send(frame(18, 1))
             elif how == "half-close":
                 client.sock.shutdown(1)
             else:
                 client.close(how == "reset")
-            await until(lambda: not world.node.door.clients)
+            await until(lambda: not world.node.server.calls)
             await world.invokers[0].accept_now()
-            await until(lambda: world.node.door.invokers["s-0"].conns)
+            await until(lambda: world.node.server.invokers["s-0"].conns)
             await asyncio.sleep(0.1)
             assert world.invokers[0].runs() == []
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_an_answer_that_makes_room_during_a_stall_does_not_let_out_what_waits_for_a_client_that_left_in_it():
@@ -123,37 +123,37 @@
                 faults.invoker_ports = {one.port}
                 faults.planned = {("invoker", "connect", n): errno.EADDRNOTAVAIL for n in range(1, 1_000)}
                 first, second = await world.client(), await world.client()
-                first.send(asked(1, id="a" * 16))
+                first.send(request_frame(1, id="a" * 16))
                 await until(lambda: one.runs() == ["f" * 16, "a" * 16])
-                second.send(asked(1, id="b" * 16))
-                await until(lambda: world.node.door.invokers["s-0"].waiting)
+                second.send(request_frame(1, id="b" * 16))
+                await until(lambda: world.node.server.invokers["s-0"].waiting)
                 one.writers[0].write(hit("a" * 16))
                 second.close()
                 time.sleep(STALL)
                 assert await first.answers(1) == [(17, 1, 0)]
                 await asyncio.sleep(0.1)
-                assert one.runs() == ["f" * 16, "a" * 16] and not world.node.door.clients
+                assert one.runs() == ["f" * 16, "a" * 16] and not world.node.server.calls
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_a_connection_that_comes_up_in_the_turn_in_which_the_client_leaves_writes_nothing(monkeypatch):
     async def scene():
         async with Scene(InvokerStandIn(full=True), **LATE_CONNECT) as world:
-            client, door = await world.client(), world.node.door
-            client.send(asked(1))
-            await until(lambda: door.out)
-            # The door knows that the client has left; the gateway is told only when the test lets it be.
+            client, server = await world.client(), world.node.server
+            client.send(request_frame(1))
+            await until(lambda: server.in_flight)
+            # The server knows that the client has left; the gateway is told only when the test lets it be.
             held_back = []
-            monkeypatch.setattr(door.turn, "tell", held_back.append)
+            monkeypatch.setattr(server.batch, "tell", held_back.append)
             client.close()
             await until(lambda: held_back)
             await world.invokers[0].accept_now()
-            await until(lambda: door.invokers["s-0"].conns)
+            await until(lambda: server.invokers["s-0"].conns)
             await asyncio.sleep(0.1)
-            assert world.invokers[0].runs() == [] and not door.invokers["s-0"].waiting
+            assert world.invokers[0].runs() == [] and not server.invokers["s-0"].waiting
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_a_client_that_left_is_known_before_what_it_did_not_read_is_written():
@@ -163,22 +163,22 @@
 
         async with Scene(InvokerStandIn(behave), limits={"memory_mb": 512, "sockets": 256}) as world:
             client = await world.client(receive_buffer=4096)
-            [peer] = world.node.door.front.open
+            [peer] = world.node.server.listener.open
             for n in range(1, 100):
-                client.send(asked(n, id=f"{n:016x}"))
-                await until(lambda n=n: len(world.invokers[0].runs()) == n and not world.node.door.clients)
+                client.send(request_frame(n, id=f"{n:016x}"))
+                await until(lambda n=n: len(world.invokers[0].runs()) == n and not world.node.server.calls)
                 await asyncio.sleep(0.01)
                 if peer.wire.paused:
                     break
             assert peer.wire.paused and not peer.wire.lost
-            client.send(asked(100, id="e" * 16))
+            client.send(request_frame(100, id="e" * 16))
             await until(lambda: "e" * 16 in world.invokers[0].runs())
             left = time.monotonic()
             client.sock.shutdown(1)
             await until(lambda: "e" * 16 in world.invokers[0].dropped(), 1.0)
             assert time.monotonic() - left < 0.3
 
-    played(scene)
+    run_scene(scene)
 
 
 # The deadline against the moment of writing
@@ -189,54 +189,54 @@
         async with Scene(InvokerStandIn(full=True), **LATE_CONNECT) as world:
             client = await world.client()
             sent = time.monotonic()
-            client.send(asked(1, wait="1900"))
-            await until(lambda: world.node.door.out)
+            client.send(request_frame(1, wait="1900"))
+            await until(lambda: world.node.server.in_flight)
             await world.invokers[0].accept_now()
             await until(lambda: world.invokers[0].runs())
             [(_, came)], [limit] = [one for one in world.invokers[0].lines], world.invokers[0].limits()
             assert came - sent > 0.5 and limit <= 1900 - (came - sent) * 1000 + 150
             assert await client.answers(1) == [(17, 1, 0)]
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_a_request_whose_time_is_up_when_the_connection_stands_is_never_written():
     async def scene():
         async with Scene(InvokerStandIn(full=True), **LATE_CONNECT) as world:
             client = await world.client()
-            client.send(asked(1, wait="300"))
+            client.send(request_frame(1, wait="300"))
             [answer] = await client.answers(1)
             assert answer[:2] == (17, 1) and answer[2] != 0
             await world.invokers[0].accept_now()
-            await until(lambda: world.node.door.invokers["s-0"].conns)
+            await until(lambda: world.node.server.invokers["s-0"].conns)
             await asyncio.sleep(0.1)
             assert world.invokers[0].runs() == []
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_time_that_a_request_waited_unread_counts_against_its_deadline():
     async def scene():
         async with Scene(InvokerStandIn()) as world:
             client = await world.warmed()
-            client.send(asked(2, wait="1500"))
+            client.send(request_frame(2, wait="1500"))
             time.sleep(STALL)
             await until(lambda: len(world.invokers[0].runs()) == 2)
             assert world.invokers[0].limits()[1] <= 1500 - STALL * 1000 + 150
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_a_request_that_waited_out_its_time_unread_is_answered_and_not_sent():
     async def scene():
         async with Scene(InvokerStandIn()) as world:
             client = await world.warmed()
-            client.send(asked(2, wait="300"))
+            client.send(request_frame(2, wait="300"))
             time.sleep(STALL)
             [answer] = await client.answers(1)
             assert answer[:2] == (17, 2) and answer[2] != 0 and len(world.invokers[0].runs()) == 1
 
-    played(scene)
+    run_scene(scene)
 
 
 # Drains against what is to be sent
@@ -249,15 +249,15 @@
             client = await world.warmed()
             drain = event(2, ("s-0", world.invokers[0].port, "draining"))
             if first == "drain":
-                world.channel.tell(drain)
-            client.send(asked(2))
+                world.channel.send(drain)
+            client.send(request_frame(2))
             if first == "request":
-                world.channel.tell(drain)
+                world.channel.send(drain)
             time.sleep(STALL)
             [answer] = await client.answers(1)
             assert answer == (17, 2, 14) and world.invokers[0].runs() == ["f" * 16]
 
-    played(scene)
+    run_scene(scene)
 
 
 @pytest.mark.parametrize("state", ["draining", "removed"])
@@ -267,16 +267,16 @@
             full, other = world.invokers
             client = await world.client()
             for n in range(1, 7):
-                client.send(asked(n, id=f"{n:016x}", key=f"{n:016x}"))
-            await until(lambda: any(out.invoker == "s-0" for out in world.node.door.out.values()))
-            world.channel.tell(event(2, ("s-0", full.port, state)))
+                client.send(request_frame(n, id=f"{n:016x}", key=f"{n:016x}"))
+            await until(lambda: any(out.invoker == "s-0" for out in world.node.server.in_flight.values()))
+            world.channel.send(event(2, ("s-0", full.port, state)))
             # They go on elsewhere at once, not when the connection would have come up.
             assert sorted(await client.answers(6, 0.8)) == [(17, n, 0) for n in range(1, 7)]
             await full.accept_now()
             await asyncio.sleep(1.3)
             assert full.runs() == [] and len(other.runs()) == 6
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_removed_and_added_at_the_same_address_in_one_event_begins_anew():
@@ -284,13 +284,13 @@
         async with Scene(InvokerStandIn()) as world:
             client = await world.warmed()
             port = world.invokers[0].port
-            world.channel.tell(event(2, ("s-0", port, "removed"), ("s-9", port, "up")))
-            await until(lambda: "s-9" in world.node.door.roster.places)
-            client.send(asked(2))
+            world.channel.send(event(2, ("s-0", port, "removed"), ("s-9", port, "up")))
+            await until(lambda: "s-9" in world.node.server.roster.places)
+            client.send(request_frame(2))
             assert await client.answers(1) == [(17, 2, 0)]
-            assert world.invokers[0].connections == 2 and list(world.node.door.invokers) == ["s-9"]
+            assert world.invokers[0].connections == 2 and list(world.node.server.invokers) == ["s-9"]
 
-    played(scene)
+    run_scene(scene)
 
 
 # Lines that the socket does not take
@@ -306,12 +306,12 @@
                 client = await world.warmed()
                 # Of the first line a part, of the second nothing: the first is taken back, then the second.
                 faults.hold_sends = 10
-                client.send(asked(2, id="a" * 16) + asked(3, id="b" * 16, wait="400"))
-                await until(lambda: len(world.node.door.out) == 2)
+                client.send(request_frame(2, id="a" * 16) + request_frame(3, id="b" * 16, wait="400"))
+                await until(lambda: len(world.node.server.in_flight) == 2)
                 if ends == "cancel":
                     client.send(frame(18, 3))
                 elif ends == "drain":
-                    world.channel.tell(event(2, ("s-0", one.port, "draining")))
+                    world.channel.send(event(2, ("s-0", one.port, "draining")))
                 else:
                     await asyncio.sleep(0.5)
                 await asyncio.sleep(0.1)
@@ -319,7 +319,7 @@
                 await asyncio.sleep(0.3)
                 assert "b" * 16 not in one.runs()
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_a_half_written_request_whose_client_left_does_not_begin_later():
@@ -330,8 +330,8 @@
                 faults.invoker_ports = {one.port}
                 client = await world.warmed()
                 faults.hold_sends = 10
-                client.send(asked(2, id="a" * 16))
-                await until(lambda: world.node.door.out)
+                client.send(request_frame(2, id="a" * 16))
+                await until(lambda: world.node.server.in_flight)
                 client.close()
                 await asyncio.sleep(0.15)
                 faults.hold_sends = None
@@ -340,7 +340,7 @@
                 # The invoker is good: what comes next finds a connection.
                 assert (await world.warmed()) and one.connections == 2
 
-    played(scene)
+    run_scene(scene)
 
 
 # Errors of one against the answers of others
@@ -349,17 +349,17 @@
 def test_what_is_open_on_a_connection_that_is_cut_is_failed_before_its_end():
     async def scene():
         async with Scene(InvokerStandIn(silent)) as world:
-            for bad in (b"\xff\xff\xff\xff", asked(3, id=""), asked(3, id="a" * 16)):
+            for bad in (b"\xff\xff\xff\xff", request_frame(3, id=""), request_frame(3, id="a" * 16)):
                 client = await world.client()
-                client.send(asked(1, id="a" * 16) + asked(2, id="b" * 16))
-                await until(lambda: len(world.node.door.clients) == 2)
+                client.send(request_frame(1, id="a" * 16) + request_frame(2, id="b" * 16))
+                await until(lambda: len(world.node.server.calls) == 2)
                 client.send(bad)
                 answers = await client.answers(5)
                 assert {(17, 1, 2), (17, 2, 2)} <= set(answers)
                 assert all(code == 2 for _, _, code in answers) and len(answers) == len(set(answers)) >= 3
-                await until(lambda: not world.node.door.clients)
+                await until(lambda: not world.node.server.calls)
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_an_answer_given_in_the_turn_in_which_the_connection_is_cut_is_written():
@@ -367,24 +367,24 @@
         async with Scene(InvokerStandIn(silent), limits={"memory_mb": 1, "sockets": 256}) as world:
             client = await world.client()
             # Ten bodies fill what may be held, the eleventh is shed at once, then an id in use ends the connection.
-            many = b"".join(asked(n, bytes(15_000), id=f"{n:016x}") for n in range(1, 12))
-            client.send(many + asked(12, id=f"{1:016x}"))
+            many = b"".join(request_frame(n, bytes(15_000), id=f"{n:016x}") for n in range(1, 12))
+            client.send(many + request_frame(12, id=f"{1:016x}"))
             answers = await client.answers(13)
             assert {(17, n, 2) for n in (0, *range(1, 11), 12)} <= set(answers) and (17, 11, 14) in answers
             assert len(answers) == 13
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_requests_read_together_with_noise_are_failed_not_dropped():
     async def scene():
         async with Scene(InvokerStandIn()) as world:
             client = await world.client()
-            client.send(asked(1, id="a" * 16) + asked(2, id="b" * 16) + b"\xff\xff\xff\xff")
+            client.send(request_frame(1, id="a" * 16) + request_frame(2, id="b" * 16) + b"\xff\xff\xff\xff")
             assert set(await client.answers(3)) == {(17, 1, 2), (17, 2, 2), (17, 0, 2)}
             assert world.invokers[0].runs() == []
 
-    played(scene)
+    run_scene(scene)
 
 
 @pytest.mark.parametrize("effect, code", [("call", 0), ("once", 2)])
@@ -395,13 +395,13 @@
             [used] = [one for one in world.invokers if one.runs()]
             used.behave = lambda tag: used.writers[-1].transport.abort()
             before = sum(len(one.runs()) for one in world.invokers)
-            client.send(asked(2, **{"class": effect}))
+            client.send(request_frame(2, **{"class": effect}))
             [answer] = await client.answers(1)
             runs = sum(len(one.runs()) for one in world.invokers) - before
             # It may have run: the repeatable one goes on elsewhere, the other is failed, never shed, never sent again.
             assert answer == (17, 2, code) and runs == (2 if effect == "call" else 1)
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_a_second_answer_and_one_to_a_cancelled_request_leave_the_others_theirs():
@@ -413,16 +413,16 @@
 
         async with Scene(InvokerStandIn(behave)) as world:
             client = await world.client()
-            client.send(asked(1, id="a" * 16))
+            client.send(request_frame(1, id="a" * 16))
             await until(lambda: world.invokers[0].runs())
             client.send(frame(18, 1))
             await until(lambda: world.invokers[0].dropped())
             for n in (2, 3):
-                client.send(asked(n, id=f"{n:016x}"))
+                client.send(request_frame(n, id=f"{n:016x}"))
                 assert await client.answers(1) == [(17, n, 0)]
             assert world.invokers[0].connections == 1 and await client.answers(1, 0.2) == []
 
-    played(scene)
+    run_scene(scene)
 
 
 # The end
@@ -440,13 +440,13 @@
             client = await world.warmed()
             stopping = asyncio.create_task(stopped(world))
             assert await client.answers(1, 2.0) == [(48, 0, 0)]
-            client.send(asked(2))
+            client.send(request_frame(2))
             late = await world.client()
-            late.send(asked(1, id="c" * 16))
+            late.send(request_frame(1, id="c" * 16))
             assert await client.answers(1) == [(17, 2, 0)] and await late.answers(1) == [(17, 1, 0)]
             assert (await stopping)[0] == 0
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_a_request_in_the_accept_queue_when_the_end_begins_is_answered():
@@ -454,21 +454,21 @@
         async with Scene(InvokerStandIn()) as world:
             await world.warmed()
             stopping = asyncio.create_task(stopped(world))
-            await until(lambda: not world.node.door.ready)
+            await until(lambda: not world.node.server.ready)
             client = RawClient(world.port)
-            client.send(asked(1, id="c" * 16))
+            client.send(request_frame(1, id="c" * 16))
             time.sleep(0.1)
             assert await client.answers(1) == [(17, 1, 0)]
             assert (await stopping)[0] == 0
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_a_request_half_received_when_the_end_begins_is_read_on_and_answered():
     async def scene():
         async with Scene(InvokerStandIn()) as world:
             client = await world.warmed()
-            data = asked(2)
+            data = request_frame(2)
             client.send(data[:20])
             stopping = asyncio.create_task(stopped(world))
             assert await client.answers(1, 2.0) == [(48, 0, 0)]
@@ -476,7 +476,7 @@
             client.send(data[20:])
             assert await client.answers(1) == [(17, 2, 0)] and (await stopping)[0] == 0
 
-    played(scene)
+    run_scene(scene)
 
 
 @pytest.mark.parametrize("deadline, kill", [(1000.0, 1.7), (2000.0, 2.7), (5000.0, 3.7)])
@@ -491,14 +491,14 @@
             stopping = asyncio.create_task(stopped(world))
             began = time.monotonic()
             await asyncio.sleep(0.55)
-            client.send(asked(1, wait=str(int(deadline))))
+            client.send(request_frame(1, wait=str(int(deadline))))
             answers = await client.answers(2, 5.0)
             assert [one[:2] for one in sorted(answers)] == [(17, 1), (48, 0)]
             _, lasted = await stopping
             # The platform kills no sooner than this.
             assert time.monotonic() - began < kill and lasted < kill - 0.1
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_nothing_is_written_for_what_is_failed_at_the_end():
@@ -509,16 +509,16 @@
                 faults.invoker_ports = {one.port}
                 client = await world.warmed()
                 faults.hold_sends = 10
-                client.send(asked(2, id="a" * 16) + asked(3, id="b" * 16))
-                await until(lambda: len(world.node.door.out) == 2)
-                assert world.node.door.fail_the_rest() == 2
+                client.send(request_frame(2, id="a" * 16) + request_frame(3, id="b" * 16))
+                await until(lambda: len(world.node.server.in_flight) == 2)
+                assert world.node.server.fail_the_rest() == 2
                 assert sorted(await client.answers(2)) == [(17, 2, 2), (17, 3, 2)]
                 faults.hold_sends = None
                 world.node.close()
                 await asyncio.sleep(0.2)
                 assert "b" * 16 not in one.runs()
 
-    played(scene)
+    run_scene(scene)
 
 
 # The command channel
@@ -527,51 +527,51 @@
 def test_a_silent_watch_is_asked_again_beside_it_and_a_slow_answer_still_counts():
     async def scene():
         async with Scene(InvokerStandIn()) as world:
-            channel, last = world.channel, world.node.door.roster
+            channel, last = world.channel, world.node.server.roster
             channel.answers = False
-            await until(lambda: len(channel.asked) >= 2, 4.0)
+            await until(lambda: len(channel.last_event_ids) >= 2, 4.0)
             # The second is not answered; what the first tells late is heard.
-            channel.tell(event(2, ("s-7", 9, "up")), watch=0)
+            channel.send(event(2, ("s-7", 9, "up")), watch=0)
             await until(lambda: last.last == 2)
             # The second speaks: it takes the first one's place.
             channel.begin(channel.writers[1])
             await until(lambda: len(world.node.channel.watches) == 1)
-            channel.tell(event(3, ("s-8", 9, "up")), watch=1)
+            channel.send(event(3, ("s-8", 9, "up")), watch=1)
             await until(lambda: last.last == 3)
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_a_gap_is_asked_for_an_older_number_passed_over_and_a_full_list_taken():
     async def scene():
         async with Scene(InvokerStandIn()) as world:
-            channel, roster = world.channel, world.node.door.roster
+            channel, roster = world.channel, world.node.server.roster
             port = world.invokers[0].port
-            channel.tell(event(2, ("s-2", 9, "up")) + event(1, ("s-1", 9, "up")) + event(4, ("s-4", 9, "up")))
-            await until(lambda: len(channel.asked) == 2)
-            assert channel.asked[1] == "2" and set(roster.places) == {"s-0", "s-2"}
-            channel.tell(event(9, ("s-0", port, "up"), ("s-9", 9, "up"), whole=True))
+            channel.send(event(2, ("s-2", 9, "up")) + event(1, ("s-1", 9, "up")) + event(4, ("s-4", 9, "up")))
+            await until(lambda: len(channel.last_event_ids) == 2)
+            assert channel.last_event_ids[1] == "2" and set(roster.places) == {"s-0", "s-2"}
+            channel.send(event(9, ("s-0", port, "up"), ("s-9", 9, "up"), whole=True))
             await until(lambda: roster.last == 9)
             assert set(roster.places) == {"s-0", "s-9"}
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_an_event_that_stays_bad_is_asked_for_again_and_then_used_as_far_as_it_can_be():
     async def scene():
         async with Scene(InvokerStandIn()) as world:
-            channel, roster = world.channel, world.node.door.roster
+            channel, roster = world.channel, world.node.server.roster
             told = entry(2, ("s-2", 9, "up"), ("s-3", 9, "odd"), ("s-0", world.invokers[0].port, "draining"))
             for reading in range(1, 4):
                 await until(lambda reading=reading: len(channel.writers) == reading)
-                channel.tell(b"id: 2\ndata: %b\n\n" % json.dumps(told).encode())
+                channel.send(b"id: 2\ndata: %b\n\n" % json.dumps(told).encode())
             await until(lambda: roster.last == 2)
-            assert set(channel.asked) == {"1"} and set(roster.places) == {"s-0", "s-2"}
-            assert not world.node.door.invokers.get("s-0") or not world.node.door.invokers["s-0"].accepting
-            channel.tell(event(3, ("s-4", 9, "up")))
+            assert set(channel.last_event_ids) == {"1"} and set(roster.places) == {"s-0", "s-2"}
+            assert not world.node.server.invokers.get("s-0") or not world.node.server.invokers["s-0"].accepting
+            channel.send(event(3, ("s-4", 9, "up")))
             await until(lambda: roster.last == 3)
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_moves_of_the_channel_in_quick_succession_leave_one_watch_at_the_last_address():
@@ -581,19 +581,19 @@
             for one in channels:
                 world.node.channel.move("127.0.0.1", one.port)
                 await asyncio.sleep(0)
-            await until(lambda: channels[-1].asked)
+            await until(lambda: channels[-1].last_event_ids)
             await asyncio.sleep(0.2)
-            assert len(world.node.channel.watches) == 1 and channels[-1].asked == ["1"]
+            assert len(world.node.channel.watches) == 1 and channels[-1].last_event_ids == ["1"]
             # Those before were left, whatever stage their connection had come to.
             for one in [world.channel, *channels[:-1]]:
                 for number in range(len(one.writers)):
                     await until(lambda one=one, number=number: one.ended(number))
-            channels[-1].tell(event(2, ("s-7", 9, "up")))
-            await until(lambda: world.node.door.roster.last == 2)
+            channels[-1].send(event(2, ("s-7", 9, "up")))
+            await until(lambda: world.node.server.roster.last == 2)
         for one in channels:
             one.close()
 
-    played(scene)
+    run_scene(scene)
 
 
 # The gRPC door's connections
@@ -616,7 +616,7 @@
         pool.close()
         one.close()
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_news_of_a_drain_reach_the_pools_of_the_door():
--- a/tests/test_discovery_outage.py
+++ b/tests/test_discovery_outage.py
@@ -27,10 +27,10 @@
     entry,
     hit,
     listening_port,
-    played,
+    run_scene,
     until,
 )
-from platform_world import asked, configuration
+from platform_world import configuration, request_frame
 from troubled_scene import Client, ReplayingChannel, Sent
 
 from sprucespool.gateway import messages as ms
@@ -140,7 +140,7 @@
         if self.begins_failing:
             await self.discovery.refuse()
         else:
-            await until(lambda: self.discovery.asked, 10.0)
+            await until(lambda: self.discovery.last_event_ids, 10.0)
         await until(lambda: "listening address=127.0.0.1:" in self.said(), 10.0)
         self.port = listening_port(self.said())
         self.connect()
@@ -184,7 +184,7 @@
             name, client = f"{self.streams:016x}", self.clients[self.streams % CLIENTS]
             client.sent[name] = Sent(self.streams, "call", time.monotonic(), WAIT / 1000.0)
             key = f"{self.chance.randrange(8):016x}"
-            client.raw.send(asked(self.streams, id=name, wait=str(int(WAIT)), key=key))
+            client.raw.send(request_frame(self.streams, id=name, wait=str(int(WAIT)), key=key))
 
     def drain_the_busiest(self) -> None:
         """Of those that still serve; discovery would tell of it at once."""
@@ -264,7 +264,7 @@
             assert world.served_share(failed_at, mended_at) > 0.9
             assert world.served_share(mended_at, time.monotonic()) > 0.9
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_a_controller_that_starts_during_an_outage_checks_from_its_first_request_on(tmp_path):
@@ -281,7 +281,7 @@
             assert not world.unanswered()
             assert world.served_share(0.0, time.monotonic()) > 0.9
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_an_invoker_that_ends_all_connections_is_told_of_and_idle_ones_that_close_here_are_not():
@@ -290,16 +290,16 @@
     async def scene():
         async with Scene(InvokerStandIn(hit)) as world:
             told = []
-            take = world.node.door.turn.take
-            world.node.door.turn.take = lambda now, inputs: (told.extend(inputs), take(now, inputs))
+            take = world.node.server.batch.take
+            world.node.server.batch.take = lambda now, inputs: (told.extend(inputs), take(now, inputs))
             await world.warmed()
-            world.node.door.invokers["s-0"].close_idle()
+            world.node.server.invokers["s-0"].close_idle()
             await asyncio.sleep(0.1)
             assert not [given for given in told if isinstance(given, ms.Disconnected)]
             client = await world.client()
-            client.send(asked(2, id="e" * 16))
+            client.send(request_frame(2, id="e" * 16))
             assert await client.answers(1) == [(ANSWER, 2, SERVED)]
             world.invokers[0].writers[-1].transport.abort()
             await until(lambda: [given for given in told if isinstance(given, ms.Disconnected)])
 
-    played(scene)
+    run_scene(scene)
--- a/tests/test_held_process.py
+++ b/tests/test_held_process.py
@@ -17,10 +17,10 @@
     event,
     hit,
     listening_port,
-    played,
+    run_scene,
     until,
 )
-from platform_world import asked, configuration, frame, settings_of_all_effects
+from platform_world import configuration, frame, request_frame, settings_of_all_effects
 from troubled_scene import CANCEL_SLACK, DEADLINE_SLACK, DRAIN_GRACE
 
 pytestmark = pytest.mark.sockets
@@ -72,7 +72,7 @@
         path.write_text(json.dumps(told))
         self.errors = open(self.folder / "said", "w+")
         self.process = controller_process(path, stderr=self.errors)
-        await until(lambda: self.channel.asked, 10.0)
+        await until(lambda: self.channel.last_event_ids, 10.0)
         self.port = listening_port((self.folder / "said").read_text())
         return self
 
@@ -100,7 +100,7 @@
         more = {"class": group, "id": name, "wait": str(int(WAIT)), "key": f"{self.chance.randrange(4):016x}"}
         if group == "publish":
             more["once"] = name * 2
-        client.send(asked(self.streams, **more))
+        client.send(request_frame(self.streams, **more))
         self.requests.append(Request(name, group, client, self.streams, time.monotonic()))
 
     def _leave(self, client: RawClient) -> None:
@@ -126,7 +126,7 @@
             one = self.chance.choice(left)
             self.drained[one] = time.monotonic()
             self.told += 1
-            self.channel.tell(event(self.told, (f"s-{self.invokers.index(one)}", one.port, "draining")))
+            self.channel.send(event(self.told, (f"s-{self.invokers.index(one)}", one.port, "draining")))
 
     def answer_kept(self) -> None:
         kept, self.kept = self.kept, []
@@ -212,7 +212,7 @@
         found = await broken_rules(seed, tmp_path)
         assert not found or await broken_rules(seed, tmp_path) == [], found
 
-    played(scene)
+    run_scene(scene)
 
 
 async def broken_rules_at_the_end(seed: int, folder) -> list[str]:
@@ -248,4 +248,4 @@
         found = await broken_rules_at_the_end(seed, tmp_path)
         assert not found or await broken_rules_at_the_end(seed, tmp_path) == [], found
 
-    played(scene)
+    run_scene(scene)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -9,8 +9,8 @@
 import time
 
 import pytest
-from platform_scene import KEY, controller_process, entry, played
-from platform_world import asked, configuration, frame
+from platform_scene import KEY, controller_process, entry, run_scene
+from platform_world import configuration, frame, request_frame
 
 from sprucespool.node.logs import Log
 from sprucespool.node.serve import Node
@@ -61,7 +61,7 @@
     """The command channel: each connection plays the next list of lines; "end" breaks it off."""
 
     def __init__(self, *plays):
-        self.plays, self.asked, self.comments = list(plays), [], True
+        self.plays, self.last_event_ids, self.comments = list(plays), [], True
 
     async def start(self):
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
@@ -70,7 +70,9 @@
 
     async def _serve(self, reader, writer):
         head = await reader.readuntil(b"\r\n\r\n")
-        self.asked.append(next(line for line in head.decode().split("\r\n") if line.startswith("Last-Event-ID")))
+        self.last_event_ids.append(
+            next(line for line in head.decode().split("\r\n") if line.startswith("Last-Event-ID"))
+        )
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
         try:
             for text in self.plays.pop(0) if self.plays else ():
@@ -117,7 +119,7 @@
         self.node = Node("", read(json.dumps(told).encode()), Log("error"))
         self.port = await self.node.start()
         # Until discovery is heard invokers are checked before they are sent to.
-        while self.node.channel.heard_at is None:
+        while self.node.channel.up_to_date_at is None:
             await asyncio.sleep(0.01)
         await asyncio.sleep(0.01)
         return self
@@ -140,7 +142,7 @@
             limits = []
             for n in range(1, 5):
                 # A stall of the machine is taken off the limit: one of four on a crowded one meets none.
-                sent = asked(n, body, id=f"{n:016x}", once="ab" * 16, **{"class": "publish"})
+                sent = request_frame(n, body, id=f"{n:016x}", once="ab" * 16, **{"class": "publish"})
                 assert await client.ask(sent) == (17, n, 0, b"\0" + body)
                 words, got, _ = world.invokers[0].heard[n - 1]
                 fields = dict(part.split("=") for part in words[2].split(","))
@@ -150,7 +152,7 @@
                 await asyncio.sleep(0.1)
             assert all(limit <= 1500 for limit in limits) and max(limits) > 1300
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_noise_ends_its_connection_alone_and_what_was_open_goes_on_elsewhere():
@@ -159,10 +161,10 @@
         async with World([bad, StandIn()]) as world:
             client = await world.client()
             for n in range(1, 9):
-                assert (await client.ask(asked(n, b"x", id=f"{n:016x}", key=f"{n:016x}")))[2] == 0
+                assert (await client.ask(request_frame(n, b"x", id=f"{n:016x}", key=f"{n:016x}")))[2] == 0
             assert bad.runs()
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_a_late_answer_to_an_earlier_forward_never_ends_the_next_at_the_same_invoker():
@@ -177,8 +179,8 @@
         one = StandIn(behave)
         async with World([one]) as world:
             client = await world.client()
-            door = world.node.door
-            invoker = door.invoker("s-0")
+            server = world.node.server
+            invoker = server.invoker("s-0")
             heard = []
             tag = "a" * 16
             for _ in range(2):
@@ -193,13 +195,13 @@
             assert one.connections == 2 and [end.outcome.value for end in heard] == ["miss", "returned"]
             client.writer.close()
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_a_refused_connection_proves_not_run_and_a_reset_does_not():
     async def scene():
         async with World([StandIn(lambda command, tag, body: "reset")]) as world:
-            invoker, ends = world.node.door.invoker("s-0"), []
+            invoker, ends = world.node.server.invoker("s-0"), []
             for tag in ("a" * 16, "b" * 16):
                 done = asyncio.Event()
                 invoker.ask(
@@ -211,18 +213,18 @@
                 world.invokers[0].server.close()
             assert ends == ["reset", "unconnected"]
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_what_is_given_up_is_answered_at_once_with_a_time_to_come_back():
     async def scene():
         async with World([]) as world:
             client, began = await world.client(), time.monotonic()
-            kind, stream, code, rest = await client.ask(asked(1))
+            kind, stream, code, rest = await client.ask(request_frame(1))
             assert (kind, stream, code) == (17, 1, 14) and rest.startswith(b"\x01\x05after")
             assert time.monotonic() - began < 0.6
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_every_kind_of_bad_client_hears_of_it_in_time_and_is_never_served():
@@ -252,13 +254,13 @@
                         b"\0\0\0\x20",
                         b"GET / HTTP/1.1\r\n\r\n",
                         (2**32 - 1).to_bytes(4, "big") + b"x" * 100,
-                        asked(1)[:-3],
-                        asked(1, id=""),
-                        asked(1, wait="nan"),
-                        asked(1, **{"class": "none"}),
-                        asked(1) + asked(1, id="c" * 16),
-                        asked(1) + asked(2),
-                        b"".join(asked(n, id=f"{n:016x}") for n in range(1, 200)),
+                        request_frame(1)[:-3],
+                        request_frame(1, id=""),
+                        request_frame(1, wait="nan"),
+                        request_frame(1, **{"class": "none"}),
+                        request_frame(1) + request_frame(1, id="c" * 16),
+                        request_frame(1) + request_frame(2),
+                        b"".join(request_frame(n, id=f"{n:016x}") for n in range(1, 200)),
                     ],
                 ),
                 # Its error is not lost for all that is still to be read.
@@ -266,35 +268,35 @@
             )
             assert len(world.invokers[0].runs()) <= 1
             usual = await world.client()
-            assert (await usual.ask(asked(1)))[2] == 0
+            assert (await usual.ask(request_frame(1)))[2] == 0
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_requests_taken_back_at_once_reach_nobody_and_cost_no_forward():
     async def scene():
         async with World([StandIn()]) as world:
             client = await world.client()
-            client.writer.write(b"".join(asked(n, id=f"{n:016x}") + frame(18, n) for n in range(1, 300)))
-            assert (await client.ask(asked(300)))[1:3] == (300, 0)
-            assert len(world.invokers[0].runs()) == 1 and not world.node.door.ids.keys()
+            client.writer.write(b"".join(request_frame(n, id=f"{n:016x}") + frame(18, n) for n in range(1, 300)))
+            assert (await client.ask(request_frame(300)))[1:3] == (300, 0)
+            assert len(world.invokers[0].runs()) == 1 and not world.node.server.ids.keys()
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_connections_beyond_the_bound_make_room_by_the_silent_ones():
     async def scene():
         async with World([StandIn()], limits={"memory_mb": 64, "sockets": 64}) as world:
             usual = await world.client()
-            assert (await usual.ask(asked(1)))[2] == 0
+            assert (await usual.ask(request_frame(1)))[2] == 0
             silent = [await world.client() for _ in range(60)]
             await asyncio.sleep(0.05)
-            assert len(world.node.door.front.all) <= world.node.door.front.most == 35
-            assert (await usual.ask(asked(2, id="c" * 16)))[2] == 0
+            assert len(world.node.server.listener.all) <= world.node.server.listener.most == 35
+            assert (await usual.ask(request_frame(2, id="c" * 16)))[2] == 0
             for client in silent:
                 client.writer.close()
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_the_channel_is_asked_again_from_the_last_number_and_newcomers_inherit_nothing():
@@ -309,18 +311,18 @@
         channel = ChannelStandIn()
         async with World([old], channel) as world:
             client = await world.client()
-            assert (await client.ask(asked(1)))[2] == 0
+            assert (await client.ask(request_frame(1)))[2] == 0
             two, three = line(2, ("s-0", old.port, "removed"), ("s-1", new.port, "up")), line(3, ("s-2", 9, "draining"))
             channel.plays = [[two, two, line(4), three[:20]], [three]]
             world.node.channel.wire.transport.abort()
-            while world.node.door.roster.last < 3:
+            while world.node.server.roster.last < 3:
                 await asyncio.sleep(0.01)
-            assert channel.asked[:3] == [f"Last-Event-ID: {n}" for n in (1, 1, 2)]
-            assert (await client.ask(asked(2, id="c" * 16)))[2] == 0
-            assert len(new.runs()) == 1 and len(old.runs()) == 1 and list(world.node.door.invokers) == ["s-1"]
+            assert channel.last_event_ids[:3] == [f"Last-Event-ID: {n}" for n in (1, 1, 2)]
+            assert (await client.ask(request_frame(2, id="c" * 16)))[2] == 0
+            assert len(new.runs()) == 1 and len(old.runs()) == 1 and list(world.node.server.invokers) == ["s-1"]
         new.server.close()
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_a_silent_channel_is_left_for_a_new_connection():
@@ -328,11 +330,11 @@
         channel = ChannelStandIn()
         async with World([StandIn()], channel):
             channel.comments, began = False, time.monotonic()
-            while len(channel.asked) < 2:
+            while len(channel.last_event_ids) < 2:
                 await asyncio.sleep(0.02)
             assert 1.0 < time.monotonic() - began < 2.5
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_an_invoker_that_stops_half_way_is_noticed_before_the_time_is_up():
@@ -341,10 +343,10 @@
         async with World([half, StandIn()]) as world:
             client, began = await world.client(), time.monotonic()
             for n in range(1, 5):
-                assert (await client.ask(asked(n, id=f"{n:016x}", key=f"{n:016x}", wait="1900")))[2] == 0
+                assert (await client.ask(request_frame(n, id=f"{n:016x}", key=f"{n:016x}", wait="1900")))[2] == 0
             assert half.runs() and time.monotonic() - began < 1.7
 
-    played(scene)
+    run_scene(scene)
 
 
 def started(tmp_path, port, **change):
@@ -364,7 +366,7 @@
         known = {"cursor": 1, "cmds": [entry(1, ("s-0", one.port, "up"), whole=True)]}
         path, process = started(tmp_path, port, channel=f"127.0.0.1:{channels[0].port}", known=known)
         try:
-            while not channels[0].asked:
+            while not channels[0].last_event_ids:
                 await asyncio.sleep(0.02)
             path.write_text("{")
             process.send_signal(signal.SIGHUP)
@@ -375,14 +377,14 @@
                 )
             )
             process.send_signal(signal.SIGHUP)
-            while not channels[1].asked:
+            while not channels[1].last_event_ids:
                 await asyncio.sleep(0.02)
             client = Client(*await asyncio.open_connection("127.0.0.1", port))
-            client.writer.write(asked(1))
+            client.writer.write(request_frame(1))
             process.send_signal(signal.SIGTERM)
             await asyncio.sleep(0.3)
             late = Client(*await asyncio.open_connection("127.0.0.1", port))
-            late.writer.write(asked(1, id="c" * 16))
+            late.writer.write(request_frame(1, id="c" * 16))
             for each in (client, late):
                 got = [await asyncio.wait_for(each.answer(), 5) for _ in range(2)]
                 assert sorted(answer[0] for answer in got) == [17, 48] and any(a[:3] == (17, 1, 0) for a in got)
@@ -398,7 +400,7 @@
         await asyncio.sleep(0.5)
         return f"{tag} HIT - 0\r\n\r\n".encode()
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_a_bad_start_is_one_line_and_status_2(tmp_path):
--- a/tests/test_pool_crossings.py
+++ b/tests/test_pool_crossings.py
@@ -10,7 +10,7 @@
 
 import pytest
 from faulty_sockets import Faults, faulty_sockets
-from platform_scene import played, until
+from platform_scene import run_scene, until
 
 from sprucespool.grpc import Status
 from sprucespool.daemon.group import GroupCarrier
@@ -116,7 +116,7 @@
             assert peer.begun == ["/a/Warm", "/a/Large"]
             assert [type(event) for event in heard] == ([] if how == "cancel" else [Unconnected])
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_a_call_behind_an_unread_socket_leaves_when_the_peer_reads_with_the_time_that_is_left():
@@ -131,7 +131,7 @@
             whole = {event.stream for event in peer.events if isinstance(event, HalfClosed)}
             assert behind.stream in whole and len(whole) == 3
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_a_call_beside_an_unread_socket_takes_another_connection():
@@ -144,7 +144,7 @@
             await until(lambda: free.calls)
             assert [call.path for call in free.calls.values()] == ["/a/Beside"]
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_a_call_taken_back_before_its_headers_left_ends_the_connection_and_never_begins():
@@ -170,7 +170,7 @@
             pool.close()
             peer.close()
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_a_large_answer_that_the_system_does_not_take_at_once_is_not_taken_for_a_peer_that_reads_nothing():
@@ -204,7 +204,7 @@
         client.close()
         listener.close()
 
-    played(scene)
+    run_scene(scene)
 
 
 # A peer that goes away
@@ -221,7 +221,7 @@
             assert [(type(event), event.never_ran) for event in heard] == [(Reset, True)]
             assert peer.begun == ["/a/Warm"]
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_calls_go_on_over_another_connection_while_the_old_one_still_answers():
@@ -237,7 +237,7 @@
             assert peer.begun == ["/a/Warm", "/a/Next"] and old[0] in pool.conns and old[0].open_calls == 1
             first.close()
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_a_word_of_the_group_that_crosses_the_end_of_its_connection_is_said_again_once():
@@ -262,4 +262,4 @@
         carrier.stop()
         listener.close()
 
-    played(scene)
+    run_scene(scene)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from platform_world import DEPLOYMENT, SETTINGS, asked, configuration
+from platform_world import DEPLOYMENT, SETTINGS, configuration, request_frame
 from sprucespool import interface as it
 from sprucespool.links import LinkError
 from sprucespool.relay import frames as fr
@@ -29,11 +29,11 @@
 @given(CUTS, st.binary(max_size=300))
 def test_requests_are_the_same_however_the_bytes_are_cut(cuts, body):
     data = (
-        asked(1, body=body)
+        request_frame(1, body=body)
         + (5).to_bytes(4, "big")
         + b"\x20"
         + bytes(4)
-        + asked(2, id="b" * 16)
+        + request_frame(2, id="b" * 16)
         + (5).to_bytes(4, "big")
         + b"\x12"
         + (2).to_bytes(4, "big")
@@ -86,18 +86,18 @@
 def test_fields_that_no_client_sends_end_the_connection_with_an_error_on_their_stream(change):
     link = fr.FrontLink(fr.Terms(DEPLOYMENT))
     with pytest.raises(fr.RequestError, match=f"expected .*{list(change)[0]}"):
-        link.receive(asked(7, **change), 0.0)
+        link.receive(request_frame(7, **change), 0.0)
     out = link.outgoing()[0]
     assert out[4] == fr.ANSWER and int.from_bytes(out[5:9], "big") == 7 and out[9] == fr.FAILED
 
 
 def test_one_number_twice_too_many_open_and_impossible_lengths_are_refused():
     for data in (
-        asked(1) + asked(1, id="c" * 16),
+        request_frame(1) + request_frame(1, id="c" * 16),
         (4).to_bytes(4, "big"),
         (2**31).to_bytes(4, "big") + b"x",
-        b"".join(asked(n, id=f"{n:016x}") for n in range(1, 34)),
-        asked(1, body=bytes(16_385)),
+        b"".join(request_frame(n, id=f"{n:016x}") for n in range(1, 34)),
+        request_frame(1, body=bytes(16_385)),
         (5).to_bytes(4, "big") + b"\x12" + (9).to_bytes(4, "big"),
     ):
         with pytest.raises(fr.FrameError):
@@ -106,7 +106,7 @@
 
 def test_answers_once_each_and_shed_names_the_time():
     link = fr.FrontLink(fr.Terms(DEPLOYMENT))
-    link.receive(asked(1) + asked(2, id="d" * 16), 0.0)
+    link.receive(request_frame(1) + request_frame(2, id="d" * 16), 0.0)
     link.shed(1, 120.2)
     link.returned(2, b"\x00\xff")
     out = link.outgoing()[0]
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
-from platform_scene import Scene, InvokerStandIn, played, turned_away
-from platform_world import asked
+from platform_scene import Scene, InvokerStandIn, run_scene, turned_away
+from platform_world import request_frame
 
 from sprucespool.gateway.core import Counts
 from sprucespool.node.logs import Log
@@ -52,16 +52,16 @@
             await asyncio.sleep(1.9)
             (silence,) = log.facts("discovery not heard")
             assert 1_600 < silence["for_ms"] < 1_900 and silence["last_event"] == 1
-            world.channel.tell(b"id: 2\ndata: {", watch=0)
+            world.channel.send(b"id: 2\ndata: {", watch=0)
             await asyncio.sleep(0.2)
             assert not log.facts("discovery heard again")
-            world.channel.tell(b"}\n\n", watch=0)
+            world.channel.send(b"}\n\n", watch=0)
             await asyncio.sleep(0.2)
             (again,) = log.facts("discovery heard again")
             assert again["after_ms"] > 1_900 and again["last_event"] == 2
             client = await world.client()
-            client.send(asked(1))
+            client.send(request_frame(1))
             assert [code for _, _, code in await client.answers(1)] != [0]
-            assert world.node.door.gateway.counts.turned_away == 1
+            assert world.node.server.gateway.counts.turned_away == 1
 
-    played(scene)
+    run_scene(scene)
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -8,8 +8,8 @@
 import time
 
 import pytest
-from platform_scene import ChannelStandIn, InvokerStandIn, RawClient, controller_process, entry, hit, played, until
-from platform_world import asked, configuration
+from platform_scene import ChannelStandIn, InvokerStandIn, RawClient, controller_process, entry, hit, run_scene, until
+from platform_world import configuration, request_frame
 
 pytestmark = pytest.mark.sockets
 
@@ -32,7 +32,7 @@
         self.config.write_text(json.dumps(told))
 
     async def serving(self):
-        await until(lambda: self.channel.asked, 10.0)
+        await until(lambda: self.channel.last_event_ids, 10.0)
 
     async def ended(self, seconds: float) -> int:
         return await asyncio.to_thread(self.popen.wait, seconds)
@@ -58,7 +58,7 @@
             channel.close()
         assert "Traceback" not in said, said
 
-    played(run)
+    run_scene(run)
 
 
 def test_a_second_sigterm_and_a_sighup_during_the_end_change_nothing(tmp_path):
@@ -66,7 +66,7 @@
         other = await ChannelStandIn().start()
         await process.serving()
         client = RawClient(process.port)
-        client.send(asked(1))
+        client.send(request_frame(1))
         assert await client.answers(1) == [(17, 1, 0)]
         process.popen.send_signal(signal.SIGTERM)
         await asyncio.sleep(0.2)
@@ -74,8 +74,8 @@
         process.write(other.port)
         process.popen.send_signal(signal.SIGHUP)
         # Discovery goes on to be heard at its new address, and what comes is answered.
-        await until(lambda: other.asked)
-        client.send(asked(2))
+        await until(lambda: other.last_event_ids)
+        client.send(request_frame(2))
         assert (17, 2, 0) in await client.answers(2)
         assert await process.ended(4.0) == 0
         other.close()
@@ -103,12 +103,12 @@
         process.popen.send_signal(signal.SIGHUP)
         await asyncio.sleep(0.2)
         client = RawClient(process.port)
-        client.send(asked(1))
+        client.send(request_frame(1))
         assert await client.answers(1) == [(17, 1, 0)]
         # It comes while it is still tried: a read that fails for a moment loses no configuration.
         other = await ChannelStandIn().start()
         process.write(other.port)
-        await until(lambda: other.asked)
+        await until(lambda: other.last_event_ids)
         other.close()
 
     with_process(tmp_path, scene)
@@ -124,11 +124,11 @@
             await asyncio.sleep(0.03)
         process.config.write_text("{")
         process.popen.send_signal(signal.SIGHUP)
-        await until(lambda: channels[-1].asked)
+        await until(lambda: channels[-1].last_event_ids)
         await asyncio.sleep(0.2)
-        assert process.popen.poll() is None and len(channels[-1].asked) == 1
+        assert process.popen.poll() is None and len(channels[-1].last_event_ids) == 1
         client = RawClient(process.port)
-        client.send(asked(1))
+        client.send(request_frame(1))
         assert await client.answers(1) == [(17, 1, 0)]
         for channel in channels:
             channel.close()
@@ -144,7 +144,7 @@
             await asyncio.sleep(1.0)
             process.popen.kill()
             killed = time.monotonic()
-            await until(lambda: len(process.channel.asked) == 2, 6.0)
+            await until(lambda: len(process.channel.last_event_ids) == 2, 6.0)
             assert second.poll() is None and time.monotonic() - killed < 2.0
         finally:
             second.kill()
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -8,11 +8,11 @@
 
 import pytest
 from faulty_sockets import ERRORS, HARMLESS, Faults, faulty_sockets
-from platform_scene import InvokerStandIn, RawClient, Scene, entry, event, hit, played, until
-from platform_world import asked, settings_of_all_effects
+from platform_scene import InvokerStandIn, RawClient, Scene, entry, event, hit, run_scene, until
+from platform_world import request_frame, settings_of_all_effects
 
 from sprucespool.transport.clock import AnchoredClock
-from sprucespool.node.serve import start_patiently
+from sprucespool.node.serve import start_with_retries
 from sprucespool.relay.feed import LATEST_NEWS, Roster, Told
 from sprucespool.transport.acceptor import Acceptor
 
@@ -33,13 +33,13 @@
                 first = faults.counts["client", "accept"]
                 faults.planned = {("client", "accept", first + n): error for n in range(1, 6)}
                 began, client = time.monotonic(), RawClient(world.port)
-                client.send(asked(1))
+                client.send(request_frame(1))
                 assert await client.answers(1) == [(17, 1, 0)]
                 # Five failures with growing pauses; without a pause there would be thousands of calls.
                 assert len(faults.injected) == 5 and faults.counts["client", "accept"] - first < 20
                 assert time.monotonic() - began < 0.8
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_time_in_the_accept_queue_while_descriptors_run_out_counts_against_the_deadline():
@@ -49,12 +49,12 @@
                 first = faults.counts["client", "accept"]
                 faults.planned = {("client", "accept", first + n): errno.EMFILE for n in range(1, 9)}
                 began, client = time.monotonic(), RawClient(world.port)
-                client.send(asked(1, wait="1500"))
+                client.send(request_frame(1, wait="1500"))
                 await until(lambda: world.invokers[0].runs())
                 waited = (world.invokers[0].lines[0][1] - began) * 1000.0
                 assert waited > 300 and world.invokers[0].limits()[0] <= 1500 - waited + 150
 
-    played(scene)
+    run_scene(scene)
 
 
 @pytest.mark.parametrize("reset", [False, True])
@@ -66,15 +66,15 @@
                 first = faults.counts["client", "accept"]
                 faults.planned = {("client", "accept", first + n): errno.EMFILE for n in range(1, 7)}
                 client = RawClient(world.port)
-                client.send(asked(2, id="e" * 16))
+                client.send(request_frame(2, id="e" * 16))
                 client.close(reset)
-                accepted = world.node.door.front.accepted
-                await until(lambda: world.node.door.front.accepted > accepted)
+                accepted = world.node.server.listener.accepted
+                await until(lambda: world.node.server.listener.accepted > accepted)
                 await asyncio.sleep(0.1)
                 assert world.invokers[0].runs() == ["f" * 16]
                 assert len(faults.injected) == 6
 
-    played(scene)
+    run_scene(scene)
 
 
 @pytest.mark.parametrize("error", [errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS, errno.EMFILE, errno.ENFILE])
@@ -86,11 +86,11 @@
                 faults.invoker_ports = {one.port}
                 faults.planned = {("invoker", "connect", n): error for n in range(1, 5)}
                 client = await world.client()
-                client.send(asked(1))
+                client.send(request_frame(1))
                 assert await client.answers(1) == [(17, 1, 0)]
                 assert len(faults.injected) == 4 and len(one.runs()) == 1
 
-    played(scene)
+    run_scene(scene)
 
 
 @pytest.mark.parametrize("error", [errno.ENOBUFS, errno.EADDRNOTAVAIL, errno.EMFILE])
@@ -106,14 +106,14 @@
     monkeypatch.setattr(Acceptor, "_listen", failing)
 
     async def scene():
-        async with Scene(InvokerStandIn(), begin=lambda node: start_patiently(node, [])) as world:
+        async with Scene(InvokerStandIn(), begin=lambda node: start_with_retries(node, [])) as world:
             assert len(failures) == 4
             client = await world.warmed()
             # One watch, however often the start was tried.
-            assert len(world.channel.asked) == 1
+            assert len(world.channel.last_event_ids) == 1
             client.close()
 
-    played(scene)
+    run_scene(scene)
 
 
 # Many schedules of failures, judged by the rules
@@ -164,7 +164,7 @@
                     more = {"class": group, "wait": "1200", "key": f"{number % 5:016x}"}
                     if group == "publish":
                         more["once"] = name * 2
-                    client.send(asked(number + 1, id=name, **more))
+                    client.send(request_frame(number + 1, id=name, **more))
                     if chance.random() < 0.3:
                         await asyncio.sleep(0.02)
                 sent = time.monotonic()
@@ -174,7 +174,7 @@
                     left = max(0.3, 1.6 - (time.monotonic() - sent))
                     answers = await client.answers(len(streams[client]) + 1, left)
                     assert answered_once(answers, streams[client]), (answers, faults.injected)
-                assert not world.node.door.clients
+                assert not world.node.server.calls
             runs = Counter(tag for one in invokers for tag in one.runs())
             assert all(runs[name] <= 1 + missed[name] for name, group in groups.items() if group == "once")
             of_gone = {f"{stream - 1:016x}" for stream in streams[gone]}
@@ -184,7 +184,7 @@
             assert not [tag for tag, at in begun if tag in of_gone and at > sent + 0.1]
             assert all(1 <= limit <= 1200 for one in invokers for limit in one.limits())
 
-    played(scene)
+    run_scene(scene)
 
 
 # Wall clocks
@@ -206,14 +206,14 @@
             client = await world.warmed()
             wall.step = step
             born = int(time.time() * 1000.0) - 1_000
-            world.channel.tell(event(2, ("s-7", world.invokers[0].port, "up"), born=born))
-            await until(lambda: "s-7" in world.node.door.gateway.boots)
-            _, started = world.node.door.gateway.boots["s-7"]
-            assert 900 <= world.node.door.turn.now() - started <= 3_000
-            client.send(asked(2))
+            world.channel.send(event(2, ("s-7", world.invokers[0].port, "up"), born=born))
+            await until(lambda: "s-7" in world.node.server.gateway.boots)
+            _, started = world.node.server.gateway.boots["s-7"]
+            assert 900 <= world.node.server.batch.now() - started <= 3_000
+            client.send(request_frame(2))
             assert await client.answers(1) == [(17, 2, 0)]
 
-    played(scene)
+    run_scene(scene)
 
 
 def told(number, born, whole=False, name="s-1"):
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from platform_scene import played
+from platform_scene import run_scene
 from platform_world import settings_of_all_effects
 from troubled_scene import (
     TROUBLES,
@@ -14,7 +14,7 @@
 )
 
 from sprucespool import interface as it
-from sprucespool.node.door import Door
+from sprucespool.node.gateway_server import GatewayServer
 from sprucespool.relay import lines
 from sprucespool.relay.frames import FrontLink
 
@@ -33,7 +33,7 @@
         assert not broken, (first.__name__, second.__name__, broken[:5], len(broken))
         assert sum(len(one.runs()) for one in world.invokers) > 10
 
-    played(scene)
+    run_scene(scene)
 
 
 # The judge itself: controllers that each lack what a rule rests on
@@ -46,7 +46,7 @@
     async def scene():
         found.extend(await TroubledWorld(1, folder, settings).play(troubles))
 
-    played(scene)
+    run_scene(scene)
     return {what.split(":")[0] for what in found}
 
 
@@ -63,13 +63,13 @@
 
 
 def test_a_controller_that_does_not_hear_of_drains_is_told(tmp_path, monkeypatch):
-    honest = Door.rostered
+    honest = GatewayServer.apply_roster
 
     def deaf(door, news):
         news.rows[:] = [row for row in news.rows if row.status == it.Status.IN_SERVICE.value]
         honest(door, news)
 
-    monkeypatch.setattr(Door, "rostered", deaf)
+    monkeypatch.setattr(GatewayServer, "apply_roster", deaf)
     assert "3" in broken_rules(tmp_path, [one_drains])
 
 
--- a/tests/troubled_scene.py
+++ b/tests/troubled_scene.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from platform_scene import ChannelStandIn, InvokerStandIn, RawClient, Scene, cut_frames, event, hit, turned_away
-from platform_world import asked, configuration, frame, settings_of_all_effects
+from platform_world import configuration, frame, request_frame, settings_of_all_effects
 
 ANSWER = 17
 # Seconds: for what a busy machine holds up on either side; the rules' own slacks.
@@ -31,7 +31,7 @@
 
     def begin(self, writer):
         super().begin(writer)
-        heard = int(self.asked[-1])
+        heard = int(self.last_event_ids[-1])
         for number, data in self.events:
             if number > heard:
                 writer.write(data)
@@ -183,7 +183,7 @@
         if group == "publish":
             more["once"] = name * 2
         client.sent[name] = Sent(number, group, time.monotonic(), wait / 1000.0)
-        client.raw.send(asked(number, id=name, **more))
+        client.raw.send(request_frame(number, id=name, **more))
 
     def write_configuration(self, port: int) -> None:
         told = configuration(channel=f"127.0.0.1:{port}", settings=settings_of_all_effects())
@@ -280,7 +280,7 @@
     name, port = f"s-{place}", world.invokers[place].port
     world.channel.change((name, port, "draining"))
     # Counted from when the controller can have heard of it.
-    while world.scene.node.door.roster.last < world.channel.last:
+    while world.scene.node.server.roster.last < world.channel.last:
         await asyncio.sleep(0.01)
     world.draining.setdefault(place, time.monotonic())
     await asyncio.sleep(0.9)
@@ -351,7 +351,7 @@
 
 async def noise_of_a_client(world: TroubledWorld) -> None:
     """Another client sends what is no frame, and one a request cut in half."""
-    for data in (b"\xff" * 64, asked(1)[:40], frame(99, 1, b"x")):
+    for data in (b"\xff" * 64, request_frame(1)[:40], frame(99, 1, b"x")):
         client = RawClient(world.scene.port)
         client.send(data)
         await asyncio.sleep(0.05)
