--- a/sprucespool/node/__init__.py
+++ b/sprucespool/node/__init__.py
@@ -1,1 +1,1 @@
-"""One controller on the operators' platform: its sockets, signals and files around the gateway."""
+"""One controller on the operators' platform: the sockets, signals and files around the gateway."""
--- a/sprucespool/node/__main__.py
+++ b/sprucespool/node/__main__.py
@@ -1,13 +1,13 @@
-"""`python -m sprucespool.node`: one controller, told by its environment."""
+"""`python -m sprucespool.node`: runs one controller, configured by environment variables."""
 
 import signal
 import sys
 
-# Before anything else is read in: until the loop runs, a signal would end the process.
-early: list[int] = []
+# Installed before the other imports: until the event loop runs, these signals would end the process.
+early_signals: list[int] = []
 for number in (signal.SIGHUP, signal.SIGTERM):
-    signal.signal(number, lambda number, frame: early.append(number))
+    signal.signal(number, lambda number, frame: early_signals.append(number))
 
 from sprucespool.node.serve import serve  # noqa: E402
 
-sys.exit(serve(early))
+sys.exit(serve(early_signals))
--- a/sprucespool/node/channel.py
+++ b/sprucespool/node/channel.py
@@ -1,4 +1,4 @@
-"""The command channel: asked again from the last number on when it breaks off or falls silent."""
+"""The command channel: reconnects when a watch ends or falls silent and continues after the last event number."""
 
 from __future__ import annotations
 
@@ -12,47 +12,58 @@
 from sprucespool.relay.feed import EntryError, FeedLink, Roster, Told
 from sprucespool.transport.wire import Wire
 
-# Times in milliseconds. A comment comes each second: a watch that tells nothing for longer may have stopped.
-SILENT, CONNECT = 1_600.0, 800.0
-FIRST_PAUSE, LAST_PAUSE = 20.0, 500.0
-# Watches at a time: a slow channel answers an earlier one while a later one still waits.
-MOST_WATCHES = 3
-LOOK_EVERY = 0.1
-# So often an event that can't be used is asked for again; then what can't be used of it is passed over.
-MOST_READINGS = 3
+# The channel sends a comment each second: a watch that receives nothing for longer may have stopped.
+SILENCE_TIMEOUT_MS, CONNECT_TIMEOUT_MS = 1_600.0, 800.0
+INITIAL_BACKOFF_MS, MAX_BACKOFF_MS = 20.0, 500.0
+# Watches open at the same time: a slow channel may answer an earlier watch while a later one still waits.
+MAX_WATCHES = 3
+CHECK_INTERVAL_SECONDS = 0.1
+# An invalid event is requested again up to this number of reads; then its invalid entries are skipped.
+MAX_READS_PER_EVENT = 3
 
 
 class Channel:
-    """Keeps the roster told: `tell` gets each of its changes, `heard` how long ago (ms) nothing was left untold."""
+    """Keeps the roster up to date.
+
+    `on_change` receives each change of the roster. `on_up_to_date` receives the time (ms) since the roster last had
+    all changes that discovery had sent.
+    """
 
     def __init__(
         self,
         host: str,
         port: int,
         roster: Roster,
-        tell: Callable[[ms.Roster], None],
-        heard: Callable[[float], None],
+        on_change: Callable[[ms.Roster], None],
+        on_up_to_date: Callable[[float], None],
         log: Log,
         seed: int,
         clock: AnchoredClock,
     ):
-        self.host, self.port, self.roster, self.tell, self.log, self.seed = host, port, roster, tell, log, seed
-        self.heard = heard
+        self.host, self.port, self.roster, self.on_change, self.log, self.seed = (
+            host,
+            port,
+            roster,
+            on_change,
+            log,
+            seed,
+        )
+        self.on_up_to_date = on_up_to_date
         self.clock = clock
         self.loop = asyncio.get_running_loop()
         # Open watches, the newest last.
         self.watches: list[Wire] = []
-        self.task: asyncio.Task | None = None
-        self.failures = self.counter = self.connected = 0
-        # When all that discovery had to tell was last heard (ms); None before the first time.
+        self.connect_task: asyncio.Task | None = None
+        self.failures = self.backoffs = self.connections = 0
+        # When the last event or comment was received with nothing incomplete behind it (ms); None before the first.
         self.up_to_date_at: float | None = None
-        self.began = self.now()
-        self.in_touch = True
-        # Readings of the next event that failed.
-        self.misread = 0
+        self.started_at = self.now()
+        self.in_contact = True
+        # Failed reads of the next event.
+        self.failed_reads = 0
         self.closed = False
-        self.again_at = 0.0
-        self.timer = self.loop.call_soon(self._look)
+        self.retry_at = 0.0
+        self.timer = self.loop.call_soon(self._check)
 
     def now(self) -> float:
         return self.loop.time() * 1000.0
@@ -63,12 +74,12 @@
         return self.watches[-1] if self.watches else None
 
     def move(self, host: str, port: int) -> None:
-        """Another address from now on; the numbers go on."""
+        """Connect to another address and continue after the last event number."""
         self.host, self.port, self.failures = host, port, 0
-        if self.task is not None:
-            self.task.cancel()
-            self.task = None
-        self._end_watches(self.watches, "the channel moved")
+        if self.connect_task is not None:
+            self.connect_task.cancel()
+            self.connect_task = None
+        self._end_watches(self.watches, "channel address changed")
         self._connect()
 
     def _end_watches(self, watches: list[Wire], why: str):
@@ -76,118 +87,118 @@
         for wire in ended:
             wire.end(why, at_once=True)
 
-    def _look(self):
-        self.timer = self.loop.call_later(LOOK_EVERY, self._look)
+    def _check(self):
+        self.timer = self.loop.call_later(CHECK_INTERVAL_SECONDS, self._check)
         now = self.now()
         self._end_replaced()
-        self._note_contact(now)
-        if self.task is not None or now < self.again_at:
+        self._update_contact(now)
+        if self.connect_task is not None or now < self.retry_at:
             return
         if not self.watches:
             self._connect()
-        elif all(now - wire.heard > SILENT for wire in self.watches):
+        elif all(now - wire.heard > SILENCE_TIMEOUT_MS for wire in self.watches):
             self.log.info("channel silent", watches=len(self.watches))
-            if len(self.watches) == MOST_WATCHES:
+            if len(self.watches) == MAX_WATCHES:
                 self._end_watches(self.watches[:1], "silent")
             self._connect()
 
     def _end_replaced(self):
-        """A watch that has spoken takes the place of those before it."""
-        for place in range(len(self.watches) - 1, 0, -1):
-            if self.watches[place].heard > self.watches[place].opened:
-                return self._end_watches(self.watches[:place], "replaced")
+        """Ends the watches that are older than the newest one that has received data."""
+        for index in range(len(self.watches) - 1, 0, -1):
+            if self.watches[index].heard > self.watches[index].opened:
+                return self._end_watches(self.watches[:index], "replaced")
 
-    def unheard_for(self) -> float:
-        """For how long the list may have missed changes (ms)."""
-        return self.now() - (self.began if self.up_to_date_at is None else self.up_to_date_at)
+    def silence_ms(self) -> float:
+        """The time during which the roster may have missed changes (ms)."""
+        return self.now() - (self.started_at if self.up_to_date_at is None else self.up_to_date_at)
 
-    def _note_contact(self, now: float):
+    def _update_contact(self, now: float):
         times = [wire.link.current_at for wire in self.watches if isinstance(wire.link, FeedLink)]
         latest = max((at for at in times if at is not None), default=None)
         if latest is not None and (self.up_to_date_at is None or latest > self.up_to_date_at):
-            unheard, self.up_to_date_at = self.unheard_for(), latest
-            self.heard(now - latest)
-            if not self.in_touch:
-                self.in_touch = True
-                self.log.info("discovery heard again", after_ms=round(unheard), last_event=self.roster.last)
-        elif self.in_touch and self.unheard_for() > SILENT:
-            self.in_touch = False
-            self.log.info("discovery not heard", for_ms=round(self.unheard_for()), last_event=self.roster.last)
+            silence_ms, self.up_to_date_at = self.silence_ms(), latest
+            self.on_up_to_date(now - latest)
+            if not self.in_contact:
+                self.in_contact = True
+                self.log.info("discovery heard again", after_ms=round(silence_ms), last_event=self.roster.last)
+        elif self.in_contact and self.silence_ms() > SILENCE_TIMEOUT_MS:
+            self.in_contact = False
+            self.log.info("discovery not heard", for_ms=round(self.silence_ms()), last_event=self.roster.last)
 
     def _connect(self):
-        if not self.closed and self.task is None:
-            self.task = self.loop.create_task(self._open())
+        if not self.closed and self.connect_task is None:
+            self.connect_task = self.loop.create_task(self._open_watch())
 
-    async def _open(self):
-        wire = Wire(FeedLink(f"{self.host}:{self.port}", self.roster.last), self._events, self._lost)
+    async def _open_watch(self):
+        wire = Wire(FeedLink(f"{self.host}:{self.port}", self.roster.last), self._on_events, self._on_lost)
         try:
-            async with asyncio.timeout(CONNECT / 1000.0):
+            async with asyncio.timeout(CONNECT_TIMEOUT_MS / 1000.0):
                 await self.loop.create_connection(lambda: wire, self.host, self.port)
         except asyncio.CancelledError:
-            wire.end("the channel moved", at_once=True)
+            wire.end("channel address changed", at_once=True)
             raise
-        except (OSError, TimeoutError) as problem:
-            self.task = None
-            why = f"{type(problem).__name__}: {problem}"
-            self.log.info("channel not connected", why=why, unheard_ms=round(self.unheard_for()))
-            return self._later()
-        self.task = None
+        except (OSError, TimeoutError) as error:
+            self.connect_task = None
+            why = f"{type(error).__name__}: {error}"
+            self.log.info("channel not connected", why=why, unheard_ms=round(self.silence_ms()))
+            return self._retry_later()
+        self.connect_task = None
         if wire.lost:
-            return self._later()
+            return self._retry_later()
         if wire.heard == wire.opened:
-            # Silence counts from here, not from when the connection was begun.
+            # Silence is measured from here, not from the start of the connection attempt.
             wire.opened = wire.heard = self.now()
         self.watches.append(wire)
-        self.connected += 1
+        self.connections += 1
 
-    def _later(self):
-        """Jittered, or all controllers come back together."""
+    def _retry_later(self):
+        """Retries after a jittered exponential pause, so that controllers do not all reconnect at the same time."""
         self.failures += 1
-        self.counter += 1
-        chance = zlib.crc32(b"%d:%d" % (self.seed, self.counter)) / 2**32
-        pause = min(LAST_PAUSE, FIRST_PAUSE * 2 ** min(self.failures - 1, 8)) * (0.5 + chance / 2)
-        self.again_at = self.now() + pause
-        self.loop.call_later(pause / 1000.0, self._again)
-
-    def _again(self):
-        if not self.watches and self.now() >= self.again_at - 1.0:
+        self.backoffs += 1
+        fraction = zlib.crc32(b"%d:%d" % (self.seed, self.backoffs)) / 2**32
+        pause = min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** min(self.failures - 1, 8)) * (0.5 + fraction / 2)
+        self.retry_at = self.now() + pause
+        self.loop.call_later(pause / 1000.0, self._retry)
+
+    def _retry(self):
+        if not self.watches and self.now() >= self.retry_at - 1.0:
             self._connect()
 
-    def _lost(self, wire: Wire, why: str):
+    def _on_lost(self, wire: Wire, why: str):
         if wire in self.watches:
             self.watches.remove(wire)
             self.log.info("channel lost", why=why)
             if not self.watches and not self.closed:
-                self._later()
+                self._retry_later()
 
-    def _events(self, wire: Wire, events: list[Told]):
+    def _on_events(self, wire: Wire, events: list[Told]):
         self.failures = 0
         for event in events:
             if wire.lost:
                 return
             try:
-                news = self.roster.told(event, self.clock.unix_ms())
-            except EntryError as problem:
-                self.log.error("channel", problem=problem)
-                self.misread += 1
-                if self.misread < MOST_READINGS:
-                    # It may have been spoilt on its way.
+                changes = self.roster.told(event, self.clock.unix_ms())
+            except EntryError as error:
+                self.log.error("channel", problem=error)
+                self.failed_reads += 1
+                if self.failed_reads < MAX_READS_PER_EVENT:
+                    # The event may have been corrupted in transit: request it again.
                     return wire.end(f"event {event.number} can't be used", at_once=True)
-                news = self.roster.pass_over(event, self.clock.unix_ms())
-            if news is None:
-                # Never passed over: what is missing may be an invoker that drains.
+                changes = self.roster.pass_over(event, self.clock.unix_ms())
+            if changes is None:
+                # A gap is never skipped: a missing event may say that an invoker drains.
                 return wire.end(f"event {event.number} after {self.roster.last}", at_once=True)
-            if news:
-                self.misread = 0
-            for told in news:
-                self.tell(told)
+            if changes:
+                self.failed_reads = 0
+            for change in changes:
+                self.on_change(change)
         link = wire.link
         if isinstance(link, FeedLink) and link.ended:
-            wire.end("the channel's answer ended", at_once=True)
+            wire.end("channel response ended", at_once=True)
 
     def close(self) -> None:
         self.closed = True
         self.timer.cancel()
-        if self.task is not None:
-            self.task.cancel()
+        if self.connect_task is not None:
+            self.connect_task.cancel()
         self._end_watches(self.watches, "closed")
--- a/sprucespool/node/clients.py
+++ b/sprucespool/node/clients.py
@@ -1,4 +1,4 @@
-"""Connections of clients: accepted, watched and cut; what their requests mean is the door's."""
+"""Connections of clients: accepts, monitors and closes them. Requests are passed to a `RequestHandler`."""
 
 from __future__ import annotations
 
@@ -12,205 +12,220 @@
 from sprucespool.transport.acceptor import Acceptor
 from sprucespool.transport.wire import Wire
 
-LOOK_EVERY = 0.25
-# A client must have sent one whole frame by then, each frame must be whole so long after it began, and answers must be
-# read so soon; a client that is to hear of an error is owed it within three seconds.
-SILENT, HALF, UNREAD = 1_800.0, 1_800.0, 2_500.0
-IDLE = 10_000.0
-# The last words to a bad client come after a pause, as it would be back with the same thing at once; then its
-# input is thrown away for a while, or the words would be lost with the connection.
-PAUSE, LINGER = 400.0, 1_500.0
-HIGH_WATER = 64 * 1024
-# Of the descriptors: how many clients may hold, and how many a turn of the loop may accept on top.
-PART, PART_ACCEPTED = 0.55, 0.15
-# Of the memory: what half-received frames may hold over all connections.
-HALF_RECEIVED = 0.06
+CHECK_INTERVAL_SECONDS = 0.25
+# Time for a new client's first complete frame, for each frame from its first byte to its last, and for a client to
+# read its answers. A bad client must receive its error within three seconds.
+FIRST_FRAME_TIMEOUT_MS, FRAME_TIMEOUT_MS, UNREAD_TIMEOUT_MS = 1_800.0, 1_800.0, 2_500.0
+IDLE_TIMEOUT_MS = 10_000.0
+# The error to a bad client is delayed, because the client would reconnect at once with the same input. Its input is
+# then discarded for a while, because closing with unread input would lose the error with the connection.
+ERROR_DELAY_MS, LINGER_MS = 400.0, 1_500.0
+HIGH_WATER_BYTES = 64 * 1024
+# Shares of the file descriptors: for client connections, and for those accepted on top in one loop iteration.
+CONNECTIONS_SHARE, BACKLOG_SHARE = 0.55, 0.15
+# Share of the memory for incomplete frames of all connections.
+HALF_RECEIVED_SHARE = 0.06
 
 
-class Calls(Protocol):
-    """What the door does with requests."""
+class RequestHandler(Protocol):
+    """Handles the requests that arrive on client connections."""
 
     ready: bool
 
-    def asked(self, peer: Peer, request: Request) -> bool: ...
+    def request_received(self, connection: ClientConnection, request: Request) -> bool: ...
 
-    def taken_back(self, peer: Peer, stream: int) -> None: ...
+    def request_cancelled(self, connection: ClientConnection, stream: int) -> None: ...
 
 
-class Peer:
+class ClientConnection:
     """One client's connection."""
 
-    __slots__ = ("front", "wire", "link", "idle_since", "unread_since", "calls", "_waited")
+    __slots__ = ("listener", "wire", "link", "idle_since", "write_paused_since", "calls", "_waited")
 
-    def __init__(self, front: ClientListener, waited: float):
-        self.front = front
+    def __init__(self, listener: ClientListener, waited: float):
+        self.listener = listener
         # How long the connection may have waited to be accepted; None once something was read.
         self._waited: float | None = waited
-        self.link = FrontLink(front.terms)
-        self.wire = Wire(self.link, self._events, self._lost, self._made, HIGH_WATER)
-        self.wire.linger, self.wire.on_closed = LINGER, self._closed
+        self.link = FrontLink(listener.terms)
+        self.wire = Wire(self.link, self._on_events, self._on_lost, self._on_made, HIGH_WATER_BYTES)
+        self.wire.linger, self.wire.on_closed = LINGER_MS, self._on_closed
         self.idle_since = self.wire.opened
-        self.unread_since = 0.0
-        # What the door holds for each open stream.
+        self.write_paused_since = 0.0
+        # The handler's state of each open stream.
         self.calls: dict[int, object] = {}
 
-    def _made(self, wire: Wire):
-        self.front.made(self)
+    def _on_made(self, wire: Wire):
+        self.listener.connection_made(self)
 
-    def _events(self, wire: Wire, events: list):
-        calls = self.front.calls
+    def _on_events(self, wire: Wire, events: list):
+        handler = self.listener.handler
         for event in events:
             if isinstance(event, Request):
-                if not calls.asked(self, event):
-                    return self.cut("an id that is in use", self.front.pause)
+                if not handler.request_received(self, event):
+                    return self.close_with_error("request id is already in use", self.listener.error_delay)
             elif isinstance(event, TakenBack):
-                calls.taken_back(self, event.stream)
+                handler.request_cancelled(self, event.stream)
             elif isinstance(event, ReadyAsked):
-                self.link.readiness(event.stream, calls.ready)
+                self.link.readiness(event.stream, handler.ready)
         self.idle_since = wire.heard
         self._waited = None
 
     @property
     def waited(self) -> float:
-        """How long what is read now may have waited with the connection, at the most (ms); 0: no longer than usual."""
-        return self._waited + self.front.now() - self.wire.opened if self._waited else 0.0
+        """The longest time (ms) for which input read now may have waited with the connection to be accepted.
 
-    def _lost(self, wire: Wire, why: str):
+        0: no longer than usual.
+        """
+        return self._waited + self.listener.now() - self.wire.opened if self._waited else 0.0
+
+    def _on_lost(self, wire: Wire, why: str):
         for stream in list(self.calls):
-            self.front.calls.taken_back(self, stream)
-        self.front.gone(self, why)
+            self.listener.handler.request_cancelled(self, stream)
+        self.listener.connection_lost(self, why)
 
-    def _closed(self, wire: Wire):
-        self.front.closed(self)
+    def _on_closed(self, wire: Wire):
+        self.listener.connection_closed(self)
 
     def answered(self, stream: int) -> None:
-        """What was written for the stream goes out with this turn."""
+        """Ends the stream; its answer is flushed in this loop iteration."""
         self.calls.pop(stream, None)
-        self.idle_since = self.front.now()
+        self.idle_since = self.listener.now()
         self.wire.flush_soon()
 
-    def cut(self, why: str, pause: float = 0.0) -> None:
-        """End the connection with a word of error, said after `pause` ms."""
+    def close_with_error(self, why: str, delay: float = 0.0) -> None:
+        """Send an error after `delay` ms and close the connection."""
         self.link.last_word()
-        self.wire.delay = pause
+        self.wire.delay = delay
         self.wire.end(why)
 
-    def look(self, now: float) -> None:
+    def check(self, now: float) -> None:
+        """Close the connection if one of its timeouts has passed."""
         wire, link = self.wire, self.link
         if not wire.paused:
-            self.unread_since = 0.0
-        elif not self.unread_since:
-            self.unread_since = now
-        elif now - self.unread_since > UNREAD:
-            return wire.end("a client that does not read", at_once=True)
-        if not link.frames and now - wire.opened > SILENT:
-            self.cut("nothing whole came")
-        elif link.rest.half(now) > HALF:
-            self.cut("half a frame")
-        elif not self.calls and not link.rest and now - self.idle_since > IDLE:
+            self.write_paused_since = 0.0
+        elif not self.write_paused_since:
+            self.write_paused_since = now
+        elif now - self.write_paused_since > UNREAD_TIMEOUT_MS:
+            return wire.end("client does not read", at_once=True)
+        if not link.frames and now - wire.opened > FIRST_FRAME_TIMEOUT_MS:
+            self.close_with_error("no complete frame received")
+        elif link.rest.half(now) > FRAME_TIMEOUT_MS:
+            self.close_with_error("incomplete frame")
+        elif not self.calls and not link.rest and now - self.idle_since > IDLE_TIMEOUT_MS:
             wire.linger = 0.0
             wire.end("idle")
 
 
 class ClientListener:
-    """The listener for clients."""
+    """Accepts connections of clients and limits how many there are and what they hold."""
 
     def __init__(
-        self, terms: Terms, calls: Calls, log: Log, sockets: int, memory_mb: float, unread: Callable[[], float]
+        self,
+        terms: Terms,
+        handler: RequestHandler,
+        log: Log,
+        sockets: int,
+        memory_mb: float,
+        unread: Callable[[], float],
     ):
-        self.terms, self.calls, self.log = terms, calls, log
+        self.terms, self.handler, self.log = terms, handler, log
         self.loop = asyncio.get_running_loop()
-        # In the order in which they came. `open` are read, `all` hold a descriptor.
-        self.open: dict[Peer, None] = {}
-        self.all: dict[Peer, None] = {}
-        self.most = max(16, int(PART * sockets))
-        self.backlog = max(16, int(PART_ACCEPTED * sockets))
-        self.most_half = int(HALF_RECEIVED * memory_mb * 2**20)
-        self.accepted = self.evicted = self.bad = 0
-        self.acceptor = Acceptor(lambda waited: Peer(self, waited).wire, self.backlog, self._exhausted, unread)
+        # Both in order of arrival: the connections that are read, and those that hold a file descriptor.
+        self.open: dict[ClientConnection, None] = {}
+        self.not_closed: dict[ClientConnection, None] = {}
+        self.max_connections = max(16, int(CONNECTIONS_SHARE * sockets))
+        self.backlog = max(16, int(BACKLOG_SHARE * sockets))
+        self.max_half_received_bytes = int(HALF_RECEIVED_SHARE * memory_mb * 2**20)
+        self.accepted = self.evicted = self.cut = 0
+        self.acceptor = Acceptor(
+            lambda waited: ClientConnection(self, waited).wire, self.backlog, self._on_accept_error, unread
+        )
         self.timer: asyncio.TimerHandle | None = None
 
     def now(self) -> float:
         return self.loop.time() * 1000.0
 
     @property
-    def pause(self) -> float:
-        """Before the last words to a bad client: none where descriptors run short."""
-        return PAUSE if 2 * len(self.all) < self.most else 0.0
+    def error_delay(self) -> float:
+        """The delay (ms) of an error to a bad client; 0 when file descriptors run short."""
+        return ERROR_DELAY_MS if 2 * len(self.not_closed) < self.max_connections else 0.0
 
     async def start(self, host: str, port: int) -> int:
         port = await self.acceptor.start(host, port)
-        self.timer = self.loop.call_later(LOOK_EVERY, self._look)
+        self.timer = self.loop.call_later(CHECK_INTERVAL_SECONDS, self._check)
         return port
 
-    def _exhausted(self, problem: OSError):
-        """No descriptor or memory for a new connection: one that nobody uses makes room."""
-        self.log.info("connection not accepted yet", why=f"{type(problem).__name__}: {problem}")
-        unused = next((peer for peer in self.open if not peer.calls and not peer.link.rest), None)
-        if problem.errno == errno.EMFILE and (unused is not None or len(self.all) > len(self.open)):
+    def _on_accept_error(self, error: OSError):
+        """There is no descriptor or memory for a new connection: an unused or lingering one is evicted."""
+        self.log.info("connection not accepted yet", why=f"{type(error).__name__}: {error}")
+        unused = next((one for one in self.open if not one.calls and not one.link.rest), None)
+        if error.errno == errno.EMFILE and (unused is not None or len(self.not_closed) > len(self.open)):
             self._evict()
 
-    def made(self, peer: Peer) -> None:
+    def connection_made(self, connection: ClientConnection) -> None:
         self.accepted += 1
-        self.open[peer] = self.all[peer] = None
-        peer.wire.delay = self.pause
-        if len(self.all) > self.most:
+        self.open[connection] = self.not_closed[connection] = None
+        connection.wire.delay = self.error_delay
+        if len(self.not_closed) > self.max_connections:
             self._evict()
 
     def _evict(self):
-        """Room for a newcomer: from those that only linger, then from silent ones, then from idle ones, oldest
-        first; a connection with an open request is the last to go."""
+        """Closes one connection to make room for a new one.
+
+        Chosen in this order, the oldest first: lingering connections, those without a complete frame, idle ones, and
+        last those with an open request.
+        """
         self.evicted += 1
-        for peer in self.all:
-            if peer.wire.lost:
-                if peer.wire.transport is not None:
-                    peer.wire.transport.abort()
-                del self.all[peer]
+        for connection in self.not_closed:
+            if connection.wire.lost:
+                if connection.wire.transport is not None:
+                    connection.wire.transport.abort()
+                del self.not_closed[connection]
                 return
-        victim = next((peer for peer in self.open if not peer.link.frames), None)
-        victim = victim or next((peer for peer in self.open if not peer.calls), None) or next(iter(self.open))
+        victim = next((one for one in self.open if not one.link.frames), None)
+        victim = victim or next((one for one in self.open if not one.calls), None) or next(iter(self.open))
         victim.wire.linger = 0.0
-        victim.cut("no room for so many connections")
+        victim.close_with_error("too many connections")
 
-    def gone(self, peer: Peer, why: str) -> None:
-        self.open.pop(peer, None)
-        if peer.wire.why and why != "idle":
-            self.bad += 1
+    def connection_lost(self, connection: ClientConnection, why: str) -> None:
+        self.open.pop(connection, None)
+        if connection.wire.why and why != "idle":
+            self.cut += 1
             self.log.info("client cut", why=why)
 
-    def closed(self, peer: Peer) -> None:
-        self.all.pop(peer, None)
+    def connection_closed(self, connection: ClientConnection) -> None:
+        self.not_closed.pop(connection, None)
 
-    def _look(self):
-        self.timer = self.loop.call_later(LOOK_EVERY, self._look)
-        now, half = self.now(), 0
-        for peer in list(self.open):
-            half += len(peer.link.rest)
-            peer.look(now)
-            if half > self.most_half and peer.link.rest:
-                peer.cut("too much is half received", self.pause)
+    def _check(self):
+        self.timer = self.loop.call_later(CHECK_INTERVAL_SECONDS, self._check)
+        now, half_received_bytes = self.now(), 0
+        for connection in list(self.open):
+            half_received_bytes += len(connection.link.rest)
+            connection.check(now)
+            if half_received_bytes > self.max_half_received_bytes and connection.link.rest:
+                connection.close_with_error("too many bytes of incomplete frames", self.error_delay)
 
-    def no_more(self) -> None:
-        """Ask for no new requests; what comes all the same is answered, also on new connections."""
-        for peer in list(self.open):
-            peer.link.no_more()
-            peer.wire.flush_soon()
+    def announce_stop(self) -> None:
+        """Ask clients to send no new requests. Requests that still arrive are answered, on new connections too."""
+        for connection in list(self.open):
+            connection.link.no_more()
+            connection.wire.flush_soon()
 
     @property
     def half_received(self) -> bool:
-        """Whether a request is on its way in, on any connection."""
-        return any(peer.link.rest for peer in self.open)
+        """Whether any connection has an incomplete frame."""
+        return any(connection.link.rest for connection in self.open)
 
     @property
     def unwritten(self) -> bool:
-        """Whether an answer is still to be written, on any connection."""
-        return any(peer.wire.unwritten for peer in self.open)
+        """Whether any connection has output that is not written yet."""
+        return any(connection.wire.unwritten for connection in self.open)
 
     def close(self) -> None:
         if self.timer:
             self.timer.cancel()
         self.acceptor.close()
-        for peer in list(self.open):
-            peer.wire.flush()
-            peer.wire.linger = 0.0
-            peer.wire.end("the controller ends")
+        for connection in list(self.open):
+            connection.wire.flush()
+            connection.wire.linger = 0.0
+            connection.wire.end("controller stops")
--- a/sprucespool/node/gateway_server.py
+++ b/sprucespool/node/gateway_server.py
@@ -1,6 +1,6 @@
-"""Between sockets and the gateway: inferences of clients in, forwards and orders to invokers out.
+"""Connects sockets and the gateway: inferences of clients come in, forwards and orders to invokers go out.
 
-Holds no decisions: it knows which connection each inference and forward belongs to, and carries out the gateway's
+Makes no decisions: it knows which connection each inference and forward belongs to, and carries out the gateway's
 effects.
 """
 
@@ -14,8 +14,8 @@
 from sprucespool.gateway import Gateway
 from sprucespool.gateway import messages as ms
 from sprucespool.transport.clock import AnchoredClock
-from sprucespool.node.clients import ClientListener, Peer
-from sprucespool.node.invokers import Ask, Invoker
+from sprucespool.node.clients import ClientConnection, ClientListener
+from sprucespool.node.invokers import Invoker, InvokerRequest
 from sprucespool.node.logs import Log
 from sprucespool.node.reports import Reports
 from sprucespool.relay.configuration import Configuration
@@ -25,74 +25,79 @@
 from sprucespool.transport.plan import PoolLimits
 from sprucespool.transport.turn import Turn
 
-LOOK_EVERY = 0.25
-# Of the time after which invokers close idle connections: ours close first, or a forward meets the close.
-IDLE_PART = 0.7
-CONNECTIONS, FIRST_PAUSE, LAST_PAUSE = 4, 50.0, 400.0
-# Of the memory: what bodies of open inferences may hold.
-HELD = 0.15
+CHECK_INTERVAL_SECONDS = 0.25
+# Share of the time after which invokers close idle connections. The controller closes them first, so that no forward
+# meets a connection that the invoker is closing.
+IDLE_CLOSE_SHARE = 0.7
+CONNECTIONS_PER_INVOKER, INITIAL_BACKOFF_MS, MAX_BACKOFF_MS = 4, 50.0, 400.0
+# Share of the memory for the bodies of open inferences.
+HELD_BODIES_SHARE = 0.15
 
 
 @dataclass(slots=True, eq=False)
 class _Call:
     """One inference of a client."""
 
-    call: str
-    peer: Peer
+    id: str
+    connection: ClientConnection
     request: Request
-    given: ms.Call
-    since: float
-    # When its client gives up, as near as it can be told here.
+    message: ms.Call
+    received_at: float
+    # When the client gives up, as closely as the controller can tell.
     deadline: float
     forwards: list[str] = field(default_factory=list)
 
 
 @dataclass(slots=True, eq=False)
 class _Forward:
-    """One forward, with the result that waits until it is known whose it is."""
+    """One attempt at an invoker. Keeps the result until the gateway decides whether to return it."""
 
-    client: _Call
+    call: _Call
     invoker: str
-    ask: Ask | None = None
+    request: InvokerRequest | None = None
     body: bytes = b""
 
 
 class GatewayServer:
-    """The gateway's port, and what clients' requests mean."""
+    """Serves the gateway: handles the requests of clients and carries out the gateway's effects."""
 
-    def __init__(self, plan: Configuration, log: Log, clock: AnchoredClock):
-        self.plan, self.log, self.clock = plan, log, clock
-        self.gateway = Gateway(plan.deployment, plan.seed, self._effect)
-        self.batch = Turn(self.gateway.take, self._after)
+    def __init__(self, config: Configuration, log: Log, clock: AnchoredClock):
+        self.config, self.log, self.clock = config, log, clock
+        self.gateway = Gateway(config.deployment, config.seed, self._effect)
+        self.batch = Turn(self.gateway.take, self._after_batch)
         self.loop = self.batch.loop
         self.roster = Roster()
         self.listener = ClientListener(
-            Terms(plan.deployment), self, log, plan.sockets, plan.memory_mb, self.batch.pace.unread
+            Terms(config.deployment), self, log, config.sockets, config.memory_mb, self.batch.pace.unread
         )
         self.calls: dict[str, _Call] = {}
-        self.ids: dict[str, _Call] = {}
+        self.calls_by_request_id: dict[str, _Call] = {}
         self.in_flight: dict[int, _Forward] = {}
-        self.ordered: dict[int, Ask] = {}
-        # Forwards whose end is told: their results may be wanted until the gateway took it, and never after.
-        self.ended: list[int] = []
+        self.orders_and_probes: dict[int, InvokerRequest] = {}
+        # Forwards whose end was reported to the gateway: it may use a result until it has taken that report, not later.
+        self.ended_forwards: list[int] = []
         self.invokers: dict[str, Invoker] = {}
-        # Of invokers that left or restarted, until what is open there has ended.
+        # Connections of invokers that left or restarted, kept until their open requests have ended.
         self.leaving: dict[Invoker, None] = {}
-        self.numbers = self.held = self.turned_away = 0
-        self.most_held = int(HELD * plan.memory_mb * 2**20)
+        self.last_number = self.held_bytes = self.turned_away = 0
+        self.max_held_bytes = int(HELD_BODIES_SHARE * config.memory_mb * 2**20)
         self.ready = False
-        # When the program must have answered all it owes; none while it is not told to end.
-        self.until: float | None = None
+        # When all open calls must be answered (ms); None until the process is asked to stop.
+        self.answers_due_at: float | None = None
         self.reports = Reports(log, self.gateway.counts, self._status, self.batch.now())
-        # For how long discovery was not heard (ms), for the log.
-        self.unheard_for: Callable[[], float] = lambda: 0.0
-        self.look = self.loop.call_later(LOOK_EVERY, self._look)
+        # How long nothing was received from discovery (ms), for the log.
+        self.discovery_silence_ms: Callable[[], float] = lambda: 0.0
+        self.timer = self.loop.call_later(CHECK_INTERVAL_SECONDS, self._check)
 
     def _status(self) -> dict[str, Any]:
-        return {"owed": len(self.calls), "invokers": len(self.roster.places), "unheard_ms": round(self.unheard_for())}
-
-    def _after(self):
-        ended, self.ended = self.ended, []
+        return {
+            "owed": len(self.calls),
+            "invokers": len(self.roster.places),
+            "unheard_ms": round(self.discovery_silence_ms()),
+        }
+
+    def _after_batch(self):
+        ended, self.ended_forwards = self.ended_forwards, []
         for number in ended:
             self.in_flight.pop(number, None)
 
@@ -102,20 +107,20 @@
     # The roster
 
     def start(self) -> None:
-        """What the configuration knows of the invokers."""
-        for news in self.roster.known(self.plan.cursor, self.plan.commands, self.clock.unix_ms()):
-            self.apply_roster(news)
-        self.discovery_heard(None)
+        """Apply the roster of the configuration."""
+        for change in self.roster.known(self.config.cursor, self.config.commands, self.clock.unix_ms()):
+            self.apply_roster(change)
+        self.discovery_received(None)
         self.ready = True
 
-    def apply_roster(self, news: ms.Roster) -> None:
+    def apply_roster(self, change: ms.Roster) -> None:
         for name, invoker in list(self.invokers.items()):
-            # Against a newcomer at an old address, or a process started afresh, that inherits connections.
+            # A new invoker at an old address, or a restarted process, must not inherit connections.
             if self.roster.places.get(name) != invoker.place:
                 del self.invokers[name]
                 self.leaving[invoker] = None
-        self.batch.tell(news)
-        for row in news.rows:
+        self.batch.tell(change)
+        for row in change.rows:
             listed = self.invokers.get(row.invoker)
             if listed is None:
                 continue
@@ -126,29 +131,30 @@
         for invoker in self.leaving:
             invoker.stop_sending()
 
-    def discovery_heard(self, age: float | None) -> None:
-        """So long ago (ms) nothing was left untold; None: not yet since the start."""
+    def discovery_received(self, age: float | None) -> None:
+        """The roster was up to date `age` ms ago; None: not yet since the start."""
         self.batch.tell(ms.DiscoveryHeard(age))
 
     def invoker(self, name: str) -> Invoker | None:
+        """The connections to a listed invoker, created at the first use; None if it is not listed."""
         place = self.roster.places.get(name)
         if name not in self.invokers:
             if place is None:
                 return None
             limits = PoolLimits(
-                connections=CONNECTIONS,
-                connect_timeout=self.plan.deployment.connect_timeout,
-                idle_close=IDLE_PART * self.plan.idle_close,
-                first_backoff=FIRST_PAUSE,
-                last_backoff=LAST_PAUSE,
+                connections=CONNECTIONS_PER_INVOKER,
+                connect_timeout=self.config.deployment.connect_timeout,
+                idle_close=IDLE_CLOSE_SHARE * self.config.idle_close,
+                first_backoff=INITIAL_BACKOFF_MS,
+                last_backoff=MAX_BACKOFF_MS,
             )
-            self.numbers += 1
+            self.last_number += 1
             self.invokers[name] = Invoker(
                 place,
                 limits,
-                self.plan.streams,
-                self.plan.seed + 7919 * self.numbers,
-                lambda what, why: self.log.debug(what, invoker=name, why=why),
+                self.config.streams,
+                self.config.seed + 7919 * self.last_number,
+                lambda event, why: self.log.debug(event, invoker=name, why=why),
                 lambda: self.batch.tell(ms.Disconnected(name)),
                 self.batch.pace,
             )
@@ -156,24 +162,24 @@
 
     # Clients
 
-    def asked(self, peer: Peer, request: Request) -> bool:
-        """False where the id is that of an open inference: whose answer would it be?"""
-        if request.id in self.ids:
+    def request_received(self, connection: ClientConnection, request: Request) -> bool:
+        """Returns False if an open inference has the same id: its answer could not be told from the other's."""
+        if request.id in self.calls_by_request_id:
             return False
         now = self.batch.now()
-        if self.held + len(request.body) > self.most_held:
+        if self.held_bytes + len(request.body) > self.max_held_bytes:
             self.turned_away += 1
-            self.log.info("turned away", why="too much is held here", held=self.held)
-            peer.link.shed(request.stream, 0.0)
-            peer.answered(request.stream)
+            self.log.info("turned away", why="too many request bytes held", held=self.held_bytes)
+            connection.link.shed(request.stream, 0.0)
+            connection.answered(request.stream)
             return True
-        unread = self.batch.pace.unread_on(peer.waited)
+        unread = self.batch.pace.unread_on(connection.waited)
         ttl = request.ttl - max(self.batch.lag, unread)
-        if self.until is not None:
-            ttl = min(ttl, self.until - now)
-        self.numbers += 1
-        given = ms.Call(
-            f"{self.numbers}",
+        if self.answers_due_at is not None:
+            ttl = min(ttl, self.answers_due_at - now)
+        self.last_number += 1
+        message = ms.Call(
+            f"{self.last_number}",
             request.group,
             request.model,
             max(1.0, ttl),
@@ -185,174 +191,182 @@
             request.repeat,
             waited=unread,
         )
-        client = _Call(given.call, peer, request, given, now, now + ttl)
-        peer.calls[request.stream] = client
-        self.calls[given.call] = self.ids[request.id] = client
-        self.held += len(request.body)
-        self.batch.tell(given)
+        call = _Call(message.call, connection, request, message, now, now + ttl)
+        connection.calls[request.stream] = call
+        self.calls[message.call] = self.calls_by_request_id[request.id] = call
+        self.held_bytes += len(request.body)
+        self.batch.tell(message)
         return True
 
-    def taken_back(self, peer: Peer, stream: int) -> None:
-        client = peer.calls.pop(stream, None)
-        if isinstance(client, _Call):
-            # Hundreds taken back at once are not worth a look of the module each.
-            if not self.batch.withdraw(client.given):
-                self.batch.tell(ms.Left(client.call))
-            self._done(client, "left")
-
-    def _done(self, client: _Call, how: str):
-        if self.calls.pop(client.call, None) is None:
+    def request_cancelled(self, connection: ClientConnection, stream: int) -> None:
+        call = connection.calls.pop(stream, None)
+        if isinstance(call, _Call):
+            # Withdrawn before the gateway gets it where possible: hundreds of requests cancelled at the same time
+            # must not cost a decision each.
+            if not self.batch.withdraw(call.message):
+                self.batch.tell(ms.Left(call.id))
+            self._done(call, "left")
+
+    def _done(self, call: _Call, end: str):
+        if self.calls.pop(call.id, None) is None:
             return
-        del self.ids[client.request.id]
-        self.held -= len(client.request.body)
+        del self.calls_by_request_id[call.request.id]
+        self.held_bytes -= len(call.request.body)
         if self.log.debugging:
             self.log.debug(
                 "inference",
-                id=client.request.id,
-                model=client.request.model,
-                group=client.request.group,
-                end=how,
-                ms=round(self.batch.now() - client.since, 1),
-                ttl=client.request.ttl,
-                forwards=",".join(client.forwards) or "-",
+                id=call.request.id,
+                model=call.request.model,
+                group=call.request.group,
+                end=end,
+                ms=round(self.batch.now() - call.received_at, 1),
+                ttl=call.request.ttl,
+                forwards=",".join(call.forwards) or "-",
             )
 
-    def _answer(self, call: str, how: str, write: Callable[[_Call], None]):
-        client = self.calls.get(call)
-        if client is None:
+    def _answer(self, call_id: str, end: str, write: Callable[[_Call], None]):
+        call = self.calls.get(call_id)
+        if call is None:
             return
-        self._done(client, how)
-        stream = client.request.stream
-        if not client.peer.wire.lost and client.peer.calls.get(stream) is client:
-            write(client)
-            client.peer.answered(stream)
+        self._done(call, end)
+        stream = call.request.stream
+        if not call.connection.wire.lost and call.connection.calls.get(stream) is call:
+            write(call)
+            call.connection.answered(stream)
 
     def _returned(self, effect: ms.AnswerReturned):
-        out = self.in_flight.pop(effect.forward, None)
-        if out is not None:
+        forward = self.in_flight.pop(effect.forward, None)
+        if forward is not None:
             self._answer(
-                effect.call, "returned", lambda client: client.peer.link.returned(client.request.stream, out.body)
+                effect.call, "returned", lambda call: call.connection.link.returned(call.request.stream, forward.body)
             )
 
     def _shed(self, effect: ms.AnswerShed):
         self._answer(
-            effect.call, "shed", lambda client: client.peer.link.shed(client.request.stream, effect.retry_after)
+            effect.call, "shed", lambda call: call.connection.link.shed(call.request.stream, effect.retry_after)
         )
 
-    def _fail(self, call: str, how: str):
-        self._answer(call, how, lambda client: client.peer.link.failed(client.request.stream))
+    def _fail(self, call_id: str, end: str):
+        self._answer(call_id, end, lambda call: call.connection.link.failed(call.request.stream))
 
     # Invokers
 
     def _forward(self, effect: ms.SendForward):
-        client, invoker = self.calls.get(effect.call), self.invoker(effect.invoker)
-        if client is None or invoker is None:
-            # The client or the invoker left in this very turn of the loop.
+        call, invoker = self.calls.get(effect.call), self.invoker(effect.invoker)
+        if call is None or invoker is None:
+            # The client or the invoker left in this loop iteration.
             return self.batch.tell(ms.ForwardEnded(effect.forward, it.Outcome.NOT_SENT.value))
-        out = self.in_flight[effect.forward] = _Forward(client, effect.invoker)
-        request = client.request
-        client.forwards.append(effect.invoker)
-        now, dep = self.batch.now(), self.plan.deployment
-        deadline = min(now + effect.time_out, client.deadline)
-        # Decided so long ago, it might reach an invoker that no longer drops it as a repeat.
-        write_by = min(effect.write_by, now + dep.connect_timeout + dep.answer_slack)
-        out.ask = invoker.ask(
+        forward = self.in_flight[effect.forward] = _Forward(call, effect.invoker)
+        request = call.request
+        call.forwards.append(effect.invoker)
+        now, deployment = self.batch.now(), self.config.deployment
+        deadline = min(now + effect.time_out, call.deadline)
+        # Written later than this, it might reach an invoker that no longer drops it as a repeat.
+        write_by = min(effect.write_by, now + deployment.connect_timeout + deployment.answer_slack)
+        forward.request = invoker.request(
             request.id,
             lambda link: link.run(
                 request.id, request.group, request.model, deadline, request.once, request.body, write_by
             ),
-            lambda end: self._heard(effect.forward, out, end),
+            lambda result: self._forward_ended(effect.forward, forward, result),
             lambda: effect.call in self.calls,
         )
 
-    def _heard(self, number: int, out: _Forward, end: Answer | it.Outcome):
+    def _forward_ended(self, number: int, forward: _Forward, result: Answer | it.Outcome):
         if number not in self.in_flight:
             return
-        self.ended.append(number)
-        if isinstance(end, Answer):
-            if end.outcome is it.Outcome.FULL:
-                self.reports.turned_away(out.invoker, out.client.request.id)
-            out.body = end.body
-            told = self.plan.deployment.tells_same_model and end.outcome in (it.Outcome.RETURNED, it.Outcome.FULL)
+        self.ended_forwards.append(number)
+        if isinstance(result, Answer):
+            if result.outcome is it.Outcome.FULL:
+                self.reports.add_refusal(forward.invoker, forward.call.request.id)
+            forward.body = result.body
+            has_same_model = self.config.deployment.tells_same_model and result.outcome in (
+                it.Outcome.RETURNED,
+                it.Outcome.FULL,
+            )
             self.batch.tell(
                 ms.ForwardEnded(
                     number,
-                    end.outcome.value,
-                    end.found.value,
-                    end.load_failed,
-                    end.same_model if told else None,
-                    end.report,
+                    result.outcome.value,
+                    result.found.value,
+                    result.load_failed,
+                    result.same_model if has_same_model else None,
+                    result.report,
                 )
             )
         else:
-            self.batch.tell(ms.ForwardEnded(number, end.value))
+            self.batch.tell(ms.ForwardEnded(number, result.value))
         if self.log.debugging:
-            outcome = end.outcome if isinstance(end, Answer) else end
+            outcome = result.outcome if isinstance(result, Answer) else result
             self.log.debug(
                 "forward",
-                id=out.client.request.id,
-                invoker=out.invoker,
+                id=forward.call.request.id,
+                invoker=forward.invoker,
                 end=outcome.value,
-                found=end.found.value if isinstance(end, Answer) else "-",
-                ms=round(self.batch.now() - (out.ask.at if out.ask else 0.0), 1),
+                found=result.found.value if isinstance(result, Answer) else "-",
+                ms=round(self.batch.now() - (forward.request.created_at if forward.request else 0.0), 1),
             )
 
     def _recall(self, effect: ms.Recall):
-        out = self.in_flight.pop(effect.forward, None)
-        if out is not None and out.ask is not None:
-            out.ask.give_up()
+        forward = self.in_flight.pop(effect.forward, None)
+        if forward is not None and forward.request is not None:
+            forward.request.cancel()
 
-    def _ask(self, number: int, name: str, tag: str, write: Callable, ended: Callable[[Answer | it.Outcome], None]):
+    def _send_order_or_probe(
+        self, number: int, name: str, tag: str, write: Callable, on_end: Callable[[Answer | it.Outcome], None]
+    ):
         invoker = self.invoker(name)
         if invoker is None:
-            return ended(it.Outcome.UNCONNECTED)
+            return on_end(it.Outcome.UNCONNECTED)
 
-        def heard(end: Answer | it.Outcome):
-            self.ordered.pop(number, None)
-            ended(end)
+        def remove_and_end(result: Answer | it.Outcome):
+            self.orders_and_probes.pop(number, None)
+            on_end(result)
 
-        self.ordered[number] = invoker.ask(tag, write, heard)
+        self.orders_and_probes[number] = invoker.request(tag, write, remove_and_end)
 
     def _order(self, effect: ms.SendOrder):
         tag = f"o{effect.order}"
 
-        def ended(end: Answer | it.Outcome):
-            standing = end.standing if isinstance(end, Answer) else 0
-            outcome = end.outcome if isinstance(end, Answer) else end
+        def on_end(result: Answer | it.Outcome):
+            standing = result.standing if isinstance(result, Answer) else 0
+            outcome = result.outcome if isinstance(result, Answer) else result
             self.log.debug("order", invoker=effect.invoker, model=effect.model, end=outcome.value, standing=standing)
             self.batch.tell(ms.OrderEnded(effect.order, outcome.value, standing))
 
-        # Like a run: what was allowed so long ago may not be allowed any more.
-        write_by = self.batch.now() + self.plan.deployment.connect_timeout
+        # As for a forward: an order that was allowed now may not be allowed later.
+        write_by = self.batch.now() + self.config.deployment.connect_timeout
 
         def write(link: InvokerLink):
             link.order(tag, effect.model, effect.copies, write_by)
 
-        self._ask(effect.order, effect.invoker, tag, write, ended)
+        self._send_order_or_probe(effect.order, effect.invoker, tag, write, on_end)
 
     def _probe(self, effect: ms.SendProbe):
         tag = f"p{effect.probe}"
-        fields = self.plan.deployment.report_fields
+        fields = self.config.deployment.report_fields
 
-        def ended(end: Answer | it.Outcome):
-            outcome = end.outcome if isinstance(end, Answer) else end
-            self.batch.tell(ms.ProbeEnded(effect.probe, outcome.value, end.report if isinstance(end, Answer) else {}))
+        def on_end(result: Answer | it.Outcome):
+            outcome = result.outcome if isinstance(result, Answer) else result
+            self.batch.tell(
+                ms.ProbeEnded(effect.probe, outcome.value, result.report if isinstance(result, Answer) else {})
+            )
 
-        self._ask(effect.probe, effect.invoker, tag, lambda link: link.probe(tag, bool(fields)), ended)
-        ask = self.ordered.get(effect.probe)
-        if ask is not None:
-            self.loop.call_later(effect.time_out / 1000.0, self._probe_late, effect.probe, ask)
+        self._send_order_or_probe(effect.probe, effect.invoker, tag, lambda link: link.probe(tag, bool(fields)), on_end)
+        request = self.orders_and_probes.get(effect.probe)
+        if request is not None:
+            self.loop.call_later(effect.time_out / 1000.0, self._probe_timed_out, effect.probe, request)
 
-    def _probe_late(self, number: int, ask: Ask):
-        if self.ordered.get(number) is ask:
-            del self.ordered[number]
-            ask.give_up()
+    def _probe_timed_out(self, number: int, request: InvokerRequest):
+        if self.orders_and_probes.get(number) is request:
+            del self.orders_and_probes[number]
+            request.cancel()
             self.batch.tell(ms.ProbeEnded(number, it.Outcome.TIMED_OUT.value))
 
     def _unload(self, effect: ms.SendUnload):
         invoker = self.invoker(effect.invoker)
         if invoker is not None:
-            invoker.tell(lambda link: link.unload(effect.model))
+            invoker.send_unanswered(lambda link: link.unload(effect.model))
 
     def _close_idle(self, effect: ms.CloseIdle):
         if effect.invoker in self.invokers:
@@ -361,37 +375,37 @@
     def _note(self, effect: ms.Note):
         (self.log.error if effect.fault else self.log.info)("module", text=effect.text, call=effect.call)
 
-    def _look(self):
-        self.look = self.loop.call_later(LOOK_EVERY, self._look)
+    def _check(self):
+        self.timer = self.loop.call_later(CHECK_INTERVAL_SECONDS, self._check)
         for invoker in list(self.invokers.values()):
-            invoker.look()
+            invoker.check()
         for invoker in list(self.leaving):
-            invoker.look()
-            if invoker.quiet:
+            invoker.check()
+            if invoker.idle:
                 invoker.close()
                 del self.leaving[invoker]
-        self.reports.look(self.batch.now())
-        late = self.batch.now() - 2 * self.plan.deployment.order_timeout
-        for number, ask in list(self.ordered.items()):
-            if ask.at < late:
+        self.reports.write_due(self.batch.now())
+        oldest = self.batch.now() - 2 * self.config.deployment.order_timeout
+        for number, request in list(self.orders_and_probes.items()):
+            if request.created_at < oldest:
                 # The gateway stopped waiting for this order long ago.
-                del self.ordered[number]
-                ask.give_up()
+                del self.orders_and_probes[number]
+                request.cancel()
 
-    # The end
+    # Shutdown
 
     def fail_the_rest(self) -> int:
-        """What is owed at the very end is failed; gives how many that were."""
-        left = list(self.calls.values())
-        for client in left:
-            self._fail(client.call, "failed at the end")
-        for out in self.in_flight.values():
-            if out.ask is not None:
-                out.ask.give_up()
-        return len(left)
+        """Fail all calls that are still open; returns their number."""
+        failed = list(self.calls.values())
+        for call in failed:
+            self._fail(call.id, "failed at the end")
+        for forward in self.in_flight.values():
+            if forward.request is not None:
+                forward.request.cancel()
+        return len(failed)
 
     def close(self) -> None:
-        self.look.cancel()
+        self.timer.cancel()
         self.batch.close()
         for invoker in [*self.invokers.values(), *self.leaving]:
             invoker.close()
@@ -411,7 +425,7 @@
     ms.CloseIdle: GatewayServer._close_idle,
     ms.Note: GatewayServer._note,
     ms.WakeAt: lambda server, effect: server.batch.wake_at(effect.at),
-    # The platform tells of invokers unasked, and carries nothing between controllers or in streams.
+    # The platform sends the roster without a subscription, and has neither messages between controllers nor streams.
     ms.SubscribeRoster: lambda server, effect: None,
     ms.FetchRoster: lambda server, effect: None,
     ms.SendMessage: lambda server, effect: None,
--- a/sprucespool/node/invokers.py
+++ b/sprucespool/node/invokers.py
@@ -1,4 +1,4 @@
-"""Connections to one invoker: opened at need, spared where they are silent, closed when idle."""
+"""Connections to one invoker: opened when needed, not used for new requests while silent, closed when idle."""
 
 from __future__ import annotations
 
@@ -12,124 +12,139 @@
 from sprucespool.transport.plan import PoolLimits, Slot
 from sprucespool.transport.wire import Wire
 
-HIGH_WATER = 0
-# An answer that stopped half-way for so long does not go on: the connection is of no more use.
-HALF = 400.0
-# Heard of nothing so long after something was sent: what is new goes on another connection, which shows whether the
-# invoker is still there.
-SILENT = 400.0
-# A request taken back of which the socket still holds a part: written on for so long, then the connection ends.
-UNWRITTEN = 0.05
-# Tags that one connection keeps in mind, to tell a late answer from a new one; then it takes no more.
-MOST_USED = 20_000
+HIGH_WATER_BYTES = 0
+# An answer that stops half-way for this long will not be completed: the connection is closed.
+INCOMPLETE_ANSWER_TIMEOUT_MS = 400.0
+# When nothing was received for this long after something was sent, new requests use another connection, which shows
+# whether the invoker is still there.
+SILENCE_TIMEOUT_MS = 400.0
+# A cancelled request of which the socket holds a part is written on for this long; then the connection is closed.
+CANCELLED_WRITE_TIMEOUT_SECONDS = 0.05
+# Tags remembered on one connection to tell a late answer from a new one; after that it takes no more requests.
+MAX_TAGS_PER_CONNECTION = 20_000
 
 
-class Ask:
-    """Something asked of the invoker. `heard` gets its end, once: an answer, or the outcome without one. None after
-    `give_up`. `wanted` is asked before anything of it is written: whoever wants it no more is about to give it up."""
+class InvokerRequest:
+    """A request to the invoker.
 
-    __slots__ = ("invoker", "tag", "write", "heard", "wanted", "conn", "at", "over")
+    `on_end` is called once with the answer, or with the outcome if there is no answer; it is not called after
+    `cancel`. `is_wanted` is called before anything is written: when it returns False, the request is about to be
+    cancelled.
+    """
+
+    __slots__ = ("invoker", "tag", "write", "on_end", "is_wanted", "conn", "created_at", "ended")
 
     def __init__(
         self,
         invoker: Invoker,
         tag: str,
         write: Callable[[InvokerLink], None],
-        heard: Callable[[Answer | it.Outcome], None],
-        wanted: Callable[[], bool],
+        on_end: Callable[[Answer | it.Outcome], None],
+        is_wanted: Callable[[], bool],
         now: float,
     ):
-        self.invoker, self.tag, self.write, self.heard, self.wanted, self.at = invoker, tag, write, heard, wanted, now
+        self.invoker, self.tag, self.write, self.on_end, self.is_wanted, self.created_at = (
+            invoker,
+            tag,
+            write,
+            on_end,
+            is_wanted,
+            now,
+        )
         self.conn: _Conn | None = None
-        self.over = False
+        self.ended = False
 
-    def end(self, what: Answer | it.Outcome) -> None:
-        if not self.over:
-            self.over = True
-            self.heard(what)
+    def end(self, result: Answer | it.Outcome) -> None:
+        if not self.ended:
+            self.ended = True
+            self.on_end(result)
 
-    def give_up(self) -> None:
-        if not self.over:
-            self.over = True
+    def cancel(self) -> None:
+        if not self.ended:
+            self.ended = True
             if self.conn is not None:
-                self.conn.give_up(self)
+                self.conn.cancel(self)
 
 
 class _Conn:
     def __init__(self, invoker: Invoker, slot: Slot):
         self.invoker, self.slot = invoker, slot
         self.link = InvokerLink(invoker.now)
-        self.asks: dict[str, Ask] = {}
+        self.requests: dict[str, InvokerRequest] = {}
         self.silent = False
-        self.wire = Wire(self.link, self._events, self._lost, high_water=HIGH_WATER)
+        self.wire = Wire(self.link, self._on_events, self._on_lost, high_water=HIGH_WATER_BYTES)
 
-    def begin(self, ask: Ask):
-        ask.conn = self
-        self.asks[ask.tag] = ask
-        ask.write(self.link)
+    def send(self, request: InvokerRequest):
+        request.conn = self
+        self.requests[request.tag] = request
+        request.write(self.link)
         self.note()
-        # At once: between a decision and its writing nothing may come that would have changed it.
+        # Written at once: no input may be handled between the decision and its write that would have changed it.
         self.wire.flush()
 
     def note(self):
         slot = self.slot
-        slot.open_calls, slot.heard = len(self.asks), self.wire.heard
-        room = self.invoker.streams - len(self.asks)
-        slot.room = 0 if self.silent or len(self.link.used) >= MOST_USED else room
-        if not self.asks:
+        slot.open_calls, slot.heard = len(self.requests), self.wire.heard
+        room = self.invoker.streams - len(self.requests)
+        slot.room = 0 if self.silent or len(self.link.used) >= MAX_TAGS_PER_CONNECTION else room
+        if not self.requests:
             slot.idle_since = self.invoker.now()
 
-    def give_up(self, ask: Ask):
-        if self.asks.pop(ask.tag, None) is None:
+    def cancel(self, request: InvokerRequest):
+        if self.requests.pop(request.tag, None) is None:
             return
-        left = self.link.give_up(ask.tag)
-        if left and self.wire.heard < ask.at and self.invoker.now() - ask.at > SILENT:
+        left = self.link.give_up(request.tag)
+        if (
+            left
+            and self.wire.heard < request.created_at
+            and self.invoker.now() - request.created_at > SILENCE_TIMEOUT_MS
+        ):
             self.silent = True
-        if left and self.wire.paused and self.link.last_written == ask.tag:
-            self.invoker.loop.call_later(UNWRITTEN, self._end_if_unwritten, ask.tag)
+        if left and self.wire.paused and self.link.last_written == request.tag:
+            self.invoker.loop.call_later(CANCELLED_WRITE_TIMEOUT_SECONDS, self._end_if_unwritten, request.tag)
         self.note()
         self.wire.flush_soon()
 
     def _end_if_unwritten(self, tag: str):
-        """Against a request that begins at the invoker long after its client has gone."""
+        """Prevents a request from starting at the invoker long after its client has left."""
         if self.wire.paused and self.link.last_written == tag:
-            self.wire.end("a request taken back is still half written", at_once=True)
+            self.wire.end("cancelled request is still half written", at_once=True)
 
-    def withdraw_unsent(self) -> list[Ask]:
-        """Take back what the socket holds nothing of; gives what that was."""
-        unsent = [self.asks.pop(tag) for tag in list(self.link.out)]
-        for ask in unsent:
-            self.link.give_up(ask.tag)
+    def withdraw_unsent(self) -> list[InvokerRequest]:
+        """Remove and return the requests of which nothing was handed to the socket."""
+        unsent = [self.requests.pop(tag) for tag in list(self.link.out)]
+        for request in unsent:
+            self.link.give_up(request.tag)
         if unsent:
             self.note()
         return unsent
 
-    def _events(self, wire: Wire, answers: list[Answer]):
+    def _on_events(self, wire: Wire, answers: list[Answer]):
         self.silent = False
         for answer in answers:
-            ask = self.asks.pop(answer.tag, None)
-            if ask is not None:
-                ask.end(answer)
+            request = self.requests.pop(answer.tag, None)
+            if request is not None:
+                request.end(answer)
         self.note()
         if self.link.spoilt:
             wire.end(str(self.link.spoilt), at_once=True)
         elif self.slot.room > 0:
             self.invoker.place_soon()
 
-    def _lost(self, wire: Wire, why: str):
+    def _on_lost(self, wire: Wire, why: str):
         self.invoker.drop(self)
         if not self.invoker.conns and not wire.ended_here:
-            self.invoker.disconnected()
-        asks, self.asks = list(self.asks.values()), {}
-        if asks:
-            self.invoker.told("connection lost", f"{why}, {len(asks)} open on it")
-        for ask in asks:
-            # What was never handed to the socket has certainly not run.
-            ask.end(it.Outcome.RESET if self.link.left(ask.tag) else it.Outcome.UNCONNECTED)
+            self.invoker.on_disconnected()
+        requests, self.requests = list(self.requests.values()), {}
+        if requests:
+            self.invoker.log_event("connection lost", f"{why}, {len(requests)} requests open on it")
+        for request in requests:
+            # A request that was never handed to the socket has certainly not run.
+            request.end(it.Outcome.RESET if self.link.left(request.tag) else it.Outcome.UNCONNECTED)
 
 
-class Invoker(Opener[_Conn, Ask]):
-    """All that goes to one process of an invoker at one address."""
+class Invoker(Opener[_Conn, InvokerRequest]):
+    """All connections and requests to one invoker process at one address."""
 
     def __init__(
         self,
@@ -137,47 +152,48 @@
         limits: PoolLimits,
         streams: int,
         seed: int,
-        told: Callable[[str, str], None],
-        disconnected: Callable[[], None],
+        log_event: Callable[[str, str], None],
+        on_disconnected: Callable[[], None],
         pace: LoopPace,
     ):
         super().__init__(place.host, place.port, limits, seed, pace)
-        self.place, self.streams, self.told = place, streams, told
-        # Called when the invoker ended the last connection.
-        self.disconnected = disconnected
-        # False while it drains, and once it has left: nothing new is written to it.
+        self.place, self.streams, self.log_event = place, streams, log_event
+        # Called when the invoker has closed the last connection.
+        self.on_disconnected = on_disconnected
+        # False while the invoker drains and once it has left: nothing new is written to it.
         self.accepting = True
 
     def connection(self, slot: Slot) -> _Conn:
         return _Conn(self, slot)
 
-    def unconnected(self, call: Ask, why: str) -> None:
+    def unconnected(self, call: InvokerRequest, why: str) -> None:
         call.end(it.Outcome.UNCONNECTED)
 
     def not_connected(self, why: str) -> None:
-        self.told("not connected", why)
+        self.log_event("not connected", why)
 
-    def ask(
+    def request(
         self,
         tag: str,
         write: Callable[[InvokerLink], None],
-        heard: Callable[[Answer | it.Outcome], None],
-        wanted: Callable[[], bool] = lambda: True,
-    ) -> Ask:
-        ask = Ask(self, tag, write, heard, wanted, self.now())
+        on_end: Callable[[Answer | it.Outcome], None],
+        is_wanted: Callable[[], bool] = lambda: True,
+    ) -> InvokerRequest:
+        """Queue a request and send it on a connection as soon as there is one."""
+        request = InvokerRequest(self, tag, write, on_end, is_wanted, self.now())
         if not self.accepting:
-            self.loop.call_soon(ask.end, it.Outcome.NOT_SENT)
-            return ask
-        self.waiting.append(ask)
+            self.loop.call_soon(request.end, it.Outcome.NOT_SENT)
+            return request
+        self.waiting.append(request)
         if len(self.waiting) == 1:
             self.place_now()
         elif len(self.waiting) > self.plan.limits.waiting:
             self.waiting.pop()
-            self.loop.call_soon(ask.end, it.Outcome.UNCONNECTED)
-        return ask
+            self.loop.call_soon(request.end, it.Outcome.UNCONNECTED)
+        return request
 
-    def tell(self, write: Callable[[InvokerLink], None]) -> None:
-        """A line without an answer, where a connection stands."""
+    def send_unanswered(self, write: Callable[[InvokerLink], None]) -> None:
+        """Send a line that has no answer, if a connection is open."""
         if not self.accepting:
             return
         for conn in self.conns.values():
@@ -185,62 +201,63 @@
             return conn.wire.flush_soon()
 
     def stop_sending(self) -> None:
-        """It drains or has left: what was not written yet never is."""
+        """The invoker drains or has left: requests that are not written yet are never sent."""
         self.accepting = False
         unsent = list(self.waiting)
         self.waiting.clear()
         for conn in list(self.conns.values()):
             unsent += conn.withdraw_unsent()
-        for ask in unsent:
-            ask.end(it.Outcome.NOT_SENT)
+        for request in unsent:
+            request.end(it.Outcome.NOT_SENT)
 
     def place_waiting(self) -> None:
         while self.waiting:
-            # Out of the line before it is written: what is heard during the writing may place the next.
-            ask = self.waiting.popleft()
-            if ask.over or not ask.wanted():
+            # Removed from the queue before it is written: an event handled during the write may place the next one.
+            request = self.waiting.popleft()
+            if request.ended or not request.is_wanted():
                 continue
-            slot, opens, why = self._where(ask)
+            slot, opens, why = self._choose_slot(request)
             if slot is not None:
-                self.conns[slot].begin(ask)
+                self.conns[slot].send(request)
             elif why or self.closed:
-                # Told in the next turn: the asker does not yet hold the ask.
-                self.loop.call_soon(ask.end, it.Outcome.UNCONNECTED)
+                # Ended in the next loop iteration: the caller does not hold the request object yet.
+                self.loop.call_soon(request.end, it.Outcome.UNCONNECTED)
             else:
-                self.waiting.appendleft(ask)
+                self.waiting.appendleft(request)
                 if opens:
                     self.open()
                 return
 
-    def _where(self, ask: Ask) -> tuple[Slot | None, bool, str]:
-        # A late answer to an earlier run of the same id would end this one: that goes on another connection.
-        known = [conn for conn in self.conns.values() if ask.tag in conn.link.used]
-        for conn in known:
+    def _choose_slot(self, request: InvokerRequest) -> tuple[Slot | None, bool, str]:
+        # A late answer to an earlier run of the same id would end this run, so this one uses another connection.
+        excluded = [conn for conn in self.conns.values() if request.tag in conn.link.used]
+        for conn in excluded:
             conn.slot.room = 0
         found = self.plan.place(self.now(), 0)
-        for conn in known:
+        for conn in excluded:
             conn.note()
         return found
 
-    def look(self) -> None:
-        """Called now and then."""
+    def check(self) -> None:
+        """Close connections that are stalled, no longer usable or idle. Called periodically."""
         now = self.now()
         for conn in list(self.conns.values()):
-            if conn.link.rest.half(now) > HALF:
-                conn.wire.end("an answer stopped half-way", at_once=True)
-            elif conn.slot.room <= 0 and not conn.asks:
-                conn.wire.end("of no more use", at_once=conn.silent)
+            if conn.link.rest.half(now) > INCOMPLETE_ANSWER_TIMEOUT_MS:
+                conn.wire.end("answer stopped half-way", at_once=True)
+            elif conn.slot.room <= 0 and not conn.requests:
+                conn.wire.end("no longer usable", at_once=conn.silent)
         for slot in self.plan.look(now)[0]:
             self.conns[slot].wire.end("idle")
 
     def close_idle(self) -> None:
         for conn in list(self.conns.values()):
-            if not conn.asks:
+            if not conn.requests:
                 conn.wire.end("idle")
 
     @property
-    def quiet(self) -> bool:
-        return not self.waiting and not self.opening and not any(conn.asks for conn in self.conns.values())
+    def idle(self) -> bool:
+        """Whether no request is waiting or open and no connection is being opened."""
+        return not self.waiting and not self.opening and not any(conn.requests for conn in self.conns.values())
 
     def close(self) -> None:
         self.closed = True
--- a/sprucespool/node/serve.py
+++ b/sprucespool/node/serve.py
@@ -1,4 +1,4 @@
-"""One controller process on the platform, from its configuration to its end."""
+"""Runs one controller process on the platform: configuration, start, signals and shutdown."""
 
 from __future__ import annotations
 
@@ -22,210 +22,213 @@
 from sprucespool.relay.feed import EntryError
 from sprucespool.transport.errors import PASSING_ERRORS, PASSING_PAUSE
 
-# Times in milliseconds. After SIGTERM clients still come for a while. The platform kills no sooner than the longest
-# deadline of a request, counted as so much at the most, and a while more; what is owed is answered well before.
-STILL_COMING = 700.0
-LONGEST_DEADLINE, KILL_AFTER, BEFORE_KILL = 3_000.0, 700.0, 400.0
-# The end comes when nothing has come, or was left to be written, for so long.
-QUIET = 150.0
-FINAL_ANSWERS = 100.0
-POLL = 0.01
-# How long an address or a descriptor that can't be had at the start is waited for, in seconds.
-START_PATIENCE = 8.0
-# Pauses, in seconds, between readings of a new configuration that could not be read.
-READING_PAUSES = (0.05, 0.1, 0.2, 0.4, 0.8)
+# Clients go on to send requests for this long after SIGTERM.
+STILL_ACCEPTING_MS = 700.0
+# The platform kills the process no sooner than the longest deadline of a request, counted as at most MAX_DEADLINE_MS,
+# plus KILL_GRACE_MS. All calls are answered KILL_MARGIN_MS before that.
+MAX_DEADLINE_MS, KILL_GRACE_MS, KILL_MARGIN_MS = 3_000.0, 700.0, 400.0
+# The process ends when nothing was received, and nothing was left to write, for this long.
+QUIET_MS = 150.0
+FINAL_ANSWERS_MS = 100.0
+POLL_INTERVAL_SECONDS = 0.01
+# How long the start is retried while an address or a file descriptor is not available.
+START_TIMEOUT_SECONDS = 8.0
+# Pauses between attempts to read a new configuration file that could not be read.
+READ_RETRY_PAUSES_SECONDS = (0.05, 0.1, 0.2, 0.4, 0.8)
 Result = TypeVar("Result")
 
 
-def _plan(path: str) -> Configuration:
+def _read_configuration(path: str) -> Configuration:
     with open(path, "rb") as file:
         return read(file.read())
 
 
 def answers_due(deployment: it.Deployment) -> float:
-    """How long after SIGTERM all that is owed has to be answered."""
-    longest = min(LONGEST_DEADLINE, max(group.route_timeout for group in deployment.groups))
-    return max(STILL_COMING + FINAL_ANSWERS, longest + KILL_AFTER - BEFORE_KILL)
+    """The time (ms) after SIGTERM by which all open calls must be answered."""
+    longest = min(MAX_DEADLINE_MS, max(group.route_timeout for group in deployment.groups))
+    return max(STILL_ACCEPTING_MS + FINAL_ANSWERS_MS, longest + KILL_GRACE_MS - KILL_MARGIN_MS)
 
 
 class Node:
-    """The parts of one controller and their life."""
+    """One controller: starts, reconfigures and stops its gateway server and command channel."""
 
-    def __init__(self, path: str, plan: Configuration, log: Log, clock: AnchoredClock | None = None):
-        self.path, self.plan, self.log = path, plan, log
+    def __init__(self, path: str, config: Configuration, log: Log, clock: AnchoredClock | None = None):
+        self.path, self.config, self.log = path, config, log
         self.clock = clock or AnchoredClock()
         self.loop = asyncio.get_running_loop()
-        self.server = GatewayServer(plan, log, self.clock)
+        self.server = GatewayServer(config, log, self.clock)
         self.channel: Channel | None = None
-        self.reading: asyncio.TimerHandle | None = None
+        self.read_timer: asyncio.TimerHandle | None = None
 
     async def start(self) -> int:
-        """Gives the port. Raises OSError where the address can't be had, EntryError for a list that can't be used."""
+        """Returns the port. Raises OSError if the address is not available, EntryError if the known list is invalid."""
         self.server.start()
-        port = await self.server.listener.start(self.plan.host, self.plan.port)
+        port = await self.server.listener.start(self.config.host, self.config.port)
         self.channel = Channel(
-            self.plan.channel_host,
-            self.plan.channel_port,
+            self.config.channel_host,
+            self.config.channel_port,
             self.server.roster,
             self.server.apply_roster,
-            self.server.discovery_heard,
+            self.server.discovery_received,
             self.log,
-            self.plan.seed,
+            self.config.seed,
             self.clock,
         )
-        self.server.unheard_for = self.channel.unheard_for
+        self.server.discovery_silence_ms = self.channel.silence_ms
         return port
 
-    def reread(self, tries: int = 0) -> None:
-        """The configuration was replaced: the channel moves, all else goes on. A file that can't be used is refused."""
-        if self.reading is not None:
-            self.reading.cancel()
-            self.reading = None
+    def reread(self, attempt: int = 0) -> None:
+        """Read a replaced configuration: only the channel's address changes. An invalid file is refused."""
+        if self.read_timer is not None:
+            self.read_timer.cancel()
+            self.read_timer = None
         try:
-            plan = _plan(self.path)
-        except (OSError, ConfigurationError) as problem:
-            if isinstance(problem, OSError) and tries < len(READING_PAUSES):
-                self.reading = self.loop.call_later(READING_PAUSES[tries], self.reread, tries + 1)
+            config = _read_configuration(self.path)
+        except (OSError, ConfigurationError) as error:
+            if isinstance(error, OSError) and attempt < len(READ_RETRY_PAUSES_SECONDS):
+                self.read_timer = self.loop.call_later(READ_RETRY_PAUSES_SECONDS[attempt], self.reread, attempt + 1)
                 return
-            return self.log.error("new configuration refused", path=self.path, problem=problem)
-        self.log.info("configuration read again", channel=f"{plan.channel_host}:{plan.channel_port}")
+            return self.log.error("new configuration refused", path=self.path, problem=error)
+        self.log.info("configuration read again", channel=f"{config.channel_host}:{config.channel_port}")
         assert self.channel is not None
-        if (plan.channel_host, plan.channel_port) != (self.channel.host, self.channel.port):
-            self.channel.move(plan.channel_host, plan.channel_port)
+        if (config.channel_host, config.channel_port) != (self.channel.host, self.channel.port):
+            self.channel.move(config.channel_host, config.channel_port)
 
     async def stop(self) -> int:
-        """Go on while clients still come, answer what is owed; gives how many were failed for want of time."""
-        due = self._now() + answers_due(self.plan.deployment)
-        self.server.until = due - FINAL_ANSWERS
-        await asyncio.sleep(STILL_COMING / 1000.0)
+        """Accept requests for a while, then answer the open calls; returns how many were failed for lack of time."""
+        due_at = self._now() + answers_due(self.config.deployment)
+        self.server.answers_due_at = due_at - FINAL_ANSWERS_MS
+        await asyncio.sleep(STILL_ACCEPTING_MS / 1000.0)
         self.server.ready = False
-        self.server.listener.no_more()
-        await self._until_quiet(due)
-        left = self.server.fail_the_rest()
-        await self._until_quiet(min(due + FINAL_ANSWERS, self._now() + QUIET))
+        self.server.listener.announce_stop()
+        await self._wait_until_quiet(due_at)
+        failed = self.server.fail_the_rest()
+        await self._wait_until_quiet(min(due_at + FINAL_ANSWERS_MS, self._now() + QUIET_MS))
         self.close()
         await asyncio.sleep(0.05)
-        return left
+        return failed
 
     def _now(self) -> float:
         return self.loop.time() * 1000.0
 
-    async def _until_quiet(self, until: float):
-        """Nothing owed, nothing on its way in or out, for a while; at the longest until the time given."""
-        front = self.server.listener
+    async def _wait_until_quiet(self, latest: float):
+        """Wait until no call is open and nothing is being received or written for QUIET_MS, or until `latest`."""
+        listener = self.server.listener
         quiet_since = self._now()
-        while self._now() < until and self._now() - quiet_since < QUIET:
-            await asyncio.sleep(POLL)
-            front.acceptor.accept_waiting()
-            if self.server.calls or front.acceptor.busy or front.half_received or front.unwritten:
+        while self._now() < latest and self._now() - quiet_since < QUIET_MS:
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
+            listener.acceptor.accept_waiting()
+            if self.server.calls or listener.acceptor.busy or listener.half_received or listener.unwritten:
                 quiet_since = self._now()
 
     def close(self) -> None:
-        if self.reading is not None:
-            self.reading.cancel()
+        if self.read_timer is not None:
+            self.read_timer.cancel()
         if self.channel is not None:
             self.channel.close()
         self.server.close()
 
 
-class StartPatience:
-    """How long a start goes on trying against a machine that lacks something for a moment."""
+class StartRetries:
+    """Decides whether a start that failed for a temporary lack of resources on this machine is retried."""
 
     def __init__(self) -> None:
-        self._until = time.monotonic() + START_PATIENCE
+        self._give_up_at = time.monotonic() + START_TIMEOUT_SECONDS
 
-    def allows(self, problem: OSError) -> bool:
-        """Whether it is worth another try."""
-        passing = problem.errno in PASSING_ERRORS or problem.errno == errno.EADDRINUSE
-        return passing and time.monotonic() <= self._until
+    def should_retry(self, error: OSError) -> bool:
+        transient = error.errno in PASSING_ERRORS or error.errno == errno.EADDRINUSE
+        return transient and time.monotonic() <= self._give_up_at
 
 
-async def start_with_retries(node: Node, early: list[int]) -> int:
-    """Start; what fails for want of something on this machine is tried again for a while."""
-    patience = StartPatience()
+async def start_with_retries(node: Node, early_signals: list[int]) -> int:
+    """Start the node; errors from a temporary lack of resources on this machine are retried for a while."""
+    retries = StartRetries()
     while True:
         try:
             return await node.start()
-        except OSError as problem:
-            if not patience.allows(problem) or signal.SIGTERM in early:
+        except OSError as error:
+            if not retries.should_retry(error) or signal.SIGTERM in early_signals:
                 raise
         await asyncio.sleep(PASSING_PAUSE)
 
 
-async def _serve(path: str, plan: Configuration, log: Log, early: list[int]) -> int:
+async def _serve(path: str, config: Configuration, log: Log, early_signals: list[int]) -> int:
     loop = asyncio.get_running_loop()
-    ending = asyncio.Event()
-    node = Node(path, plan, log)
+    stop_requested = asyncio.Event()
+    node = Node(path, config, log)
     try:
-        port = await start_with_retries(node, early)
-    except EntryError as problem:
-        print(f"RELAY_CONFIG {path}: known: {problem}", file=sys.stderr)
+        port = await start_with_retries(node, early_signals)
+    except EntryError as error:
+        print(f"RELAY_CONFIG {path}: known: {error}", file=sys.stderr)
         node.close()
         return 2
-    except OSError as problem:
-        print(f"listen {plan.host}:{plan.port}: {problem.strerror or problem}", file=sys.stderr)
+    except OSError as error:
+        print(f"listen {config.host}:{config.port}: {error.strerror or error}", file=sys.stderr)
         node.close()
         return 2
     loop.add_signal_handler(signal.SIGHUP, node.reread)
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, ending.set)
-    if signal.SIGTERM in early:
-        ending.set()
-    if signal.SIGHUP in early:
+        loop.add_signal_handler(number, stop_requested.set)
+    if signal.SIGTERM in early_signals:
+        stop_requested.set()
+    if signal.SIGHUP in early_signals:
         node.reread()
     log.info(
         "listening",
-        address=f"{plan.host}:{port}",
-        name=plan.name,
+        address=f"{config.host}:{port}",
+        name=config.name,
         invokers=len(node.server.roster.places),
-        memory_mb=plan.memory_mb,
-        sockets=plan.sockets,
+        memory_mb=config.memory_mb,
+        sockets=config.sockets,
     )
-    # What stands after the start lives as long as the process: the collector need not look through it again.
+    # Objects created by the start live as long as the process: the garbage collector need not scan them again.
     gc.collect()
     gc.freeze()
     gc.set_threshold(20_000, 20, 100)
-    await ending.wait()
+    await stop_requested.wait()
     log.info("stopping", owed=len(node.server.calls))
-    left = await node.stop()
+    failed = await node.stop()
     log.info(
         "stopped",
-        failed_at_the_end=left,
+        failed_at_the_end=failed,
         turned_away=node.server.turned_away,
         accepted=node.server.listener.accepted,
-        cut=node.server.listener.bad,
+        cut=node.server.listener.cut,
         evicted=node.server.listener.evicted,
-        channel=node.channel and node.channel.connected,
+        channel=node.channel and node.channel.connections,
         counts=json.dumps(node.server.gateway.counts.as_dict()),
     )
     return 0
 
 
-def _patiently(call: Callable[[], Result]) -> Result:
-    """The call's result; what fails for want of something on this machine is tried again for a while."""
-    patience = StartPatience()
+def _with_retries(call: Callable[[], Result]) -> Result:
+    """Returns the call's result; errors from a temporary lack of resources on this machine are retried for a while."""
+    retries = StartRetries()
     while True:
         try:
             return call()
-        except OSError as problem:
-            if not patience.allows(problem):
+        except OSError as error:
+            if not retries.should_retry(error):
                 raise
         time.sleep(PASSING_PAUSE)
 
 
-def serve(early: list[int]) -> int:
-    """Run one controller until it is told to end; gives the exit status. `early` holds signals that came before."""
+def serve(early_signals: list[int]) -> int:
+    """Run one controller until it is asked to stop; returns the exit status.
+
+    `early_signals` holds the signals received before the event loop runs.
+    """
     path = os.environ.get("RELAY_CONFIG", "")
     if not path:
         print("expected RELAY_CONFIG to name the configuration file", file=sys.stderr)
         return 2
     try:
-        plan = _patiently(lambda: _plan(path))
-    except OSError as problem:
-        print(f"RELAY_CONFIG {path}: {problem.strerror or problem}", file=sys.stderr)
+        config = _with_retries(lambda: _read_configuration(path))
+    except OSError as error:
+        print(f"RELAY_CONFIG {path}: {error.strerror or error}", file=sys.stderr)
         return 2
-    except ConfigurationError as problem:
-        print(f"RELAY_CONFIG {path}: {problem}", file=sys.stderr)
+    except ConfigurationError as error:
+        print(f"RELAY_CONFIG {path}: {error}", file=sys.stderr)
         return 2
-    with asyncio.Runner(loop_factory=lambda: _patiently(asyncio.new_event_loop)) as runner:
-        return runner.run(_serve(path, plan, Log(os.environ.get("SPRUCESPOOL_LOG", "info")), early))
+    with asyncio.Runner(loop_factory=lambda: _with_retries(asyncio.new_event_loop)) as runner:
+        return runner.run(_serve(path, config, Log(os.environ.get("SPRUCESPOOL_LOG", "info")), early_signals))
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -185,7 +185,7 @@
             tag = "a" * 16
             for _ in range(2):
                 done = asyncio.Event()
-                invoker.ask(
+                invoker.request(
                     tag,
                     lambda link: link.run(tag, "call", KEY, invoker.now() + 500, "", b""),
                     lambda end, done=done: (heard.append(end), done.set()),
@@ -204,7 +204,7 @@
             invoker, ends = world.node.server.invoker("s-0"), []
             for tag in ("a" * 16, "b" * 16):
                 done = asyncio.Event()
-                invoker.ask(
+                invoker.request(
                     tag,
                     lambda link, tag=tag: link.run(tag, "call", KEY, invoker.now() + 500, "", b""),
                     lambda end, done=done: (ends.append(end.value), done.set()),
@@ -279,7 +279,7 @@
             client = await world.client()
             client.writer.write(b"".join(request_frame(n, id=f"{n:016x}") + frame(18, n) for n in range(1, 300)))
             assert (await client.ask(request_frame(300)))[1:3] == (300, 0)
-            assert len(world.invokers[0].runs()) == 1 and not world.node.server.ids.keys()
+            assert len(world.invokers[0].runs()) == 1 and not world.node.server.calls_by_request_id.keys()
 
     run_scene(scene)
 
@@ -291,7 +291,7 @@
             assert (await usual.ask(request_frame(1)))[2] == 0
             silent = [await world.client() for _ in range(60)]
             await asyncio.sleep(0.05)
-            assert len(world.node.server.listener.all) <= world.node.server.listener.most == 35
+            assert len(world.node.server.listener.not_closed) <= world.node.server.listener.max_connections == 35
             assert (await usual.ask(request_frame(2, id="c" * 16)))[2] == 0
             for client in silent:
                 client.writer.close()
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -30,15 +30,15 @@
     log, counts = KeptLog(), Counts(taken=4, turned_away=4)
     reports = Reports(log, counts, lambda: {"owed": 1}, 0.0)
     for number in range(3):
-        reports.turned_away("s-1", f"r{number}")
-    reports.look(400.0)
-    reports.turned_away("s-2", "r3")
-    reports.look(1_100.0)
-    reports.look(9_000.0)
+        reports.add_refusal("s-1", f"r{number}")
+    reports.write_due(400.0)
+    reports.add_refusal("s-2", "r3")
+    reports.write_due(1_100.0)
+    reports.write_due(9_000.0)
     assert log.kept == [
         ("turned away by invokers", {"attempts": 4, "invokers": 2, "by": "s-1:3,s-2:1", "last_request": "r3"})
     ]
-    reports.look(10_000.0)
+    reports.write_due(10_000.0)
     assert log.facts("status") == [{"owed": 1, "counts": '{"taken":4,"turned_away":4}'}]
 
 
