--- a/tests/platform_scene.py
+++ b/tests/platform_scene.py
@@ -1,4 +1,4 @@
-"""A controller of the platform between stand-ins on loopback whose steps a test holds and releases."""
+"""A controller of the platform and, on loopback, stand-ins for its peers whose steps a test controls."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 async def lines_of(reader: asyncio.StreamReader) -> AsyncIterator[list[str]]:
-    """The words of each line that came whole, a run's with its body."""
+    """Yields the words of each complete line; the body of a run is read and skipped."""
     while line := await reader.readline():
         words = line.decode().split()
         if not words:
@@ -43,23 +43,23 @@
 
 
 class Attempt(NamedTuple):
-    """A run as an invoker got it: when (seconds, monotonic), and what it was told to have left (ms)."""
+    """A run as an invoker received it: when (seconds, monotonic), and the time limit that it carried (ms)."""
 
     tag: str
-    came: float
+    received_at: float
     limit: float
 
 
 class InvokerStandIn:
-    """Keeps each whole line with the time at which it came; `behave(tag)` gives what it answers to a run, or None.
+    """Records each complete line with its arrival time; `behave(tag)` returns the answer to a run, or None.
 
-    One that drains turns runs away and calls itself sick, as the platform's invokers do; it stays up.
+    While it drains it refuses runs and answers health checks with SICK, as the platform's invokers do; it stays up.
     """
 
     def __init__(self, behave: Callable[[str], bytes | None] = hit, full: bool = False):
         self.behave, self.full = behave, full
-        # When it began to drain (seconds, monotonic); None while it serves.
-        self.drains_since: float | None = None
+        # When the drain began (seconds, monotonic); None while it serves.
+        self.draining_since: float | None = None
         self.lines: list[tuple[list[str], float]] = []
         self.writers: list[asyncio.StreamWriter] = []
         self.connections = 0
@@ -77,7 +77,7 @@
         return self
 
     def _fill(self):
-        """Take all places of the accept queue: a connection that is begun now does not come up."""
+        """Fill the accept queue, so that a new connection is not established."""
         while True:
             filler = socket.socket()
             filler.settimeout(0.05)
@@ -88,7 +88,7 @@
                 return
 
     async def accept_now(self):
-        """Let connections come up; the system tries one that was begun again within a second or so."""
+        """Accept connections; the system retries a pending one within about a second."""
         self.server = await asyncio.start_server(self._serve, sock=self.listener, backlog=100)
         for filler in self.fillers:
             filler.close()
@@ -108,15 +108,15 @@
             writer.close()
 
     def _answer(self, words: list[str]) -> bytes | None:
-        drains = self.drains_since is not None
+        draining = self.draining_since is not None
         if words[0] in ("health", "load"):
-            return f"{words[1]} {'SICK' if drains else 'PONG'} - 0\r\n\r\n".encode()
+            return f"{words[1]} {'SICK' if draining else 'PONG'} - 0\r\n\r\n".encode()
         if words[0] == "exec":
-            return turned_away(words[1]) if drains else self.behave(words[1])
+            return turned_away(words[1]) if draining else self.behave(words[1])
         return None
 
     def drain(self) -> None:
-        self.drains_since = time.monotonic()
+        self.draining_since = time.monotonic()
 
     def runs(self) -> list[str]:
         return [words[1] for words, _ in self.lines if words[0] == "exec"]
@@ -126,8 +126,8 @@
 
     def attempts(self) -> list[Attempt]:
         return [
-            Attempt(words[1], came, float(dict(part.split("=") for part in words[2].split(","))["limit"]))
-            for words, came in self.lines
+            Attempt(words[1], received_at, float(dict(part.split("=") for part in words[2].split(","))["limit"]))
+            for words, received_at in self.lines
             if words[0] == "exec"
         ]
 
@@ -143,12 +143,12 @@
 
 
 class ChannelStandIn:
-    """Writes what it is told to, on the watches that stand; comments only when told to."""
+    """The command channel: writes only the events and comments that the test sends, on the open watches."""
 
     def __init__(self):
         self.last_event_ids: list[str] = []
         self.writers: list[asyncio.StreamWriter] = []
-        self.over: set[asyncio.StreamWriter] = set()
+        self.closed_writers: set[asyncio.StreamWriter] = set()
         self.answers = True
 
     async def start(self) -> ChannelStandIn:
@@ -171,7 +171,7 @@
             await reader.read()
         except ConnectionError:
             pass
-        self.over.add(writer)
+        self.closed_writers.add(writer)
 
     def begin(self, writer):
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: here\n\n")
@@ -180,7 +180,7 @@
         self.writers[watch].write(data)
 
     def ended(self, watch: int) -> bool:
-        return self.writers[watch] in self.over
+        return self.writers[watch] in self.closed_writers
 
     def close(self):
         self.server.close()
@@ -216,7 +216,7 @@
 
 
 def cut_frames(data: bytes) -> tuple[list[tuple[int, int, int]], bytes]:
-    """(type, stream, code) of each whole frame, and the bytes behind the last one."""
+    """Returns (type, stream, code) of each complete frame, and the bytes after the last one."""
     frames = []
     while len(data) >= 4 and len(data) >= 4 + (size := int.from_bytes(data[:4], "big")):
         frames.append((data[4], int.from_bytes(data[5:9], "big"), data[9]))
@@ -225,7 +225,7 @@
 
 
 class RawClient:
-    """A client on a blocking socket: what it sends is with the system before the controller runs again."""
+    """A client on a blocking socket: the system has what it sends before the controller runs again."""
 
     def __init__(self, port: int, receive_buffer: int = 0):
         self.sock = socket.socket()
@@ -242,26 +242,26 @@
         self.sock.close()
 
     async def read(self, seconds: float = 3.0) -> bytes:
-        """All that came within the time, or until the connection's end."""
+        """Returns all that is received within the time, or until the connection ends."""
         self.sock.setblocking(False)
         loop, data = asyncio.get_running_loop(), b""
         try:
             async with asyncio.timeout(seconds):
-                while part := await loop.sock_recv(self.sock, 65_536):
-                    data += part
+                while chunk := await loop.sock_recv(self.sock, 65_536):
+                    data += chunk
         except (TimeoutError, ConnectionError):
             pass
         return data
 
     async def answers(self, count: int, seconds: float = 3.0) -> list[tuple[int, int, int]]:
-        """(type, stream, code) of so many frames, or of as many as came."""
+        """Returns (type, stream, code) of up to `count` frames received within the time."""
         self.sock.setblocking(False)
         loop, data = asyncio.get_running_loop(), b""
         found: list[tuple[int, int, int]] = []
         try:
             async with asyncio.timeout(seconds):
-                while len(found) < count and (part := await loop.sock_recv(self.sock, 65_536)):
-                    frames, data = cut_frames(data + part)
+                while len(found) < count and (chunk := await loop.sock_recv(self.sock, 65_536)):
+                    frames, data = cut_frames(data + chunk)
                     found += frames
         except (TimeoutError, ConnectionError):
             pass
@@ -269,15 +269,15 @@
 
 
 def controller_process(config: Path, **streams) -> subprocess.Popen:
-    """The process that the platform runs, on that configuration."""
+    """Starts the process that the platform runs, with that configuration."""
     environment = {**os.environ, "RELAY_CONFIG": str(config)}
     return subprocess.Popen([sys.executable, "-m", "sprucespool.node"], text=True, env=environment, **streams)
 
 
-def listening_port(said: str) -> int:
-    """The port that a controller process told in its log. Raises ValueError where it told none yet."""
-    at = said.index("127.0.0.1:", said.index("listening")) + len("127.0.0.1:")
-    return int("".join(one for one in said[at : at + 6] if one.isdigit()))
+def listening_port(log_text: str) -> int:
+    """Returns the port from the log of a controller process. Raises ValueError if it is not logged yet."""
+    at = log_text.index("127.0.0.1:", log_text.index("listening")) + len("127.0.0.1:")
+    return int("".join(char for char in log_text[at : at + 6] if char.isdigit()))
 
 
 class Scene:
@@ -298,11 +298,11 @@
             await invoker.start()
         await self.channel.start()
         first = entry(1, *[(f"s-{n}", one.port, "up") for n, one in enumerate(self.invokers)], whole=True)
-        told = configuration(channel=f"127.0.0.1:{self.channel.port}", known={"cursor": 1, "cmds": [first]})
-        told.update(self.change)
-        self.node = Node("", read(json.dumps(told).encode()), Log("error"), self.clock)
+        config = configuration(channel=f"127.0.0.1:{self.channel.port}", known={"cursor": 1, "cmds": [first]})
+        config.update(self.change)
+        self.node = Node("", read(json.dumps(config).encode()), Log("error"), self.clock)
         self.port = await self.begin(self.node)
-        # Discovery is heard, and the decisions know it: else invokers are checked before they are sent to.
+        # Until discovery is received and the gateway knows it, invokers are probed before they are used.
         await until(
             lambda: self.channel.last_event_ids and self.node.channel and self.node.channel.up_to_date_at is not None,
             10.0,
@@ -319,13 +319,13 @@
         return client
 
     async def warmed(self) -> RawClient:
-        """A client, with a connection to the first invoker standing and idle."""
+        """A client, after one answered request: the connection to the first invoker is open and idle."""
         client = await self.client()
         client.send(request_frame(1, id="f" * 16))
         assert await client.answers(1) == [(17, 1, 0)]
         return client
 
-    async def __aexit__(self, *problem):
+    async def __aexit__(self, *exc_info):
         self.node.close()
         self.channel.close()
         for invoker in self.invokers:
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -1,4 +1,4 @@
-"""What the tests of the platform's door share: settings as the platform gives them, and frames as clients send them."""
+"""Shared by the tests of the node: settings as the platform gives them, and frames as clients send them."""
 
 import json
 
@@ -86,10 +86,10 @@
 
 
 def settings_of_all_effects():
-    """The settings with a class, `once`, that must never run twice."""
-    told = json.loads(json.dumps(SETTINGS))
-    told["profiles"].append({**told["profiles"][0], "name": "once", "effect": "at_most_once"})
-    return told
+    """The settings with one more class, `once`, whose requests must never run twice."""
+    settings = json.loads(json.dumps(SETTINGS))
+    settings["profiles"].append({**settings["profiles"][0], "name": "once", "effect": "at_most_once"})
+    return settings
 
 
 def configuration(**change):
--- a/tests/test_discovery_outage.py
+++ b/tests/test_discovery_outage.py
@@ -1,11 +1,12 @@
-"""Regression: new work reached draining invokers while discovery was out of reach (report 41723a).
-
-Symptom: 387 attempts, from 48 controllers, at invokers that drained, after the drain counted as told and the grace.
-Sequence: discovery refuses all connections; just after that two busy invokers begin to drain and stay up; the
-controllers keep the list of before and go on sending, each attempt is turned away unseen and goes elsewhere.
-Cause: the list of before was believed without bound, and a refusal was read as a full queue alone.
-What settled it: `channel not connected why=ConnectionRefusedError` each 0.25 to 0.5 s through the whole outage, and
-beside it one request that tried two draining invokers in turn, 7.6 s after they began to drain.
+"""Regression: new work reached draining invokers while discovery was unreachable (report 41723a).
+
+Symptom: 387 attempts from 48 controllers reached draining invokers after the drain counted as announced and the grace
+period was over.
+Sequence: discovery refuses all connections; shortly after, two busy invokers begin to drain and stay up. The
+controllers keep the old roster and go on sending; each attempt is refused without being run and goes elsewhere.
+Cause: the old roster was trusted without a time limit, and a refusal was interpreted as a full queue only.
+Evidence: `channel not connected why=ConnectionRefusedError` every 0.25 to 0.5 s during the whole outage, and one
+request that tried two draining invokers in turn, 7.6 s after they began to drain.
 """
 
 import asyncio
@@ -40,23 +41,23 @@
 ANSWER, SERVED = 17, 0
 INVOKERS, CLIENTS = 6, 3
 WAIT = 1_500.0
-# Seconds. A drain that discovery would have told counts as told so long after a break, or at once where it is later.
-TOLD_AFTER_BREAK, GRACE = 2.0, 0.5
-# What the machine may hold up a line on its way.
-MACHINE = 0.1
+# Seconds. A drain during an outage counts as announced this long after the outage began, or at once if it is later.
+ANNOUNCED_AFTER_OUTAGE, DRAIN_GRACE = 2.0, 0.5
+# Allowance in seconds for delays of a busy machine.
+MACHINE_ALLOWANCE = 0.1
 COMMENT_EVERY = 0.5
 
 
 class FailingDiscovery(ReplayingChannel):
-    """Comments twice a second while it is well. It fails in one of three ways and can be mended."""
+    """Sends comments twice a second while it works. It can fail in three ways and recover."""
 
     def __init__(self) -> None:
         super().__init__()
         self.failing = False
-        self.beat: asyncio.Task | None = None
+        self.comment_task: asyncio.Task | None = None
 
     async def start(self):
-        self.beat = asyncio.ensure_future(self._comment())
+        self.comment_task = asyncio.ensure_future(self._comment())
         return await super().start()
 
     async def _comment(self) -> None:
@@ -66,7 +67,7 @@
                 self.write(b": here\n\n")
 
     def change(self, *hosts: tuple, whole: bool = False) -> None:
-        """While it fails the change is kept, and told when it is mended."""
+        """During an outage the change is kept and sent on recovery."""
         if self.failing:
             writers, self.writers = self.writers, []
             super().change(*hosts, whole=whole)
@@ -75,16 +76,16 @@
             super().change(*hosts, whole=whole)
 
     async def refuse(self) -> None:
-        """No connection comes up, and those that stood are reset."""
+        """New connections are refused, and open ones are reset."""
         self.failing = True
-        await self.go_away()
+        await self.shut_down()
 
     async def fall_silent(self) -> None:
-        """Connections stand and come up; nothing is said on them."""
+        """Connections are accepted and stay open, but nothing is sent."""
         self.failing, self.answers = True, False
 
     async def break_off(self) -> None:
-        """Connections come up and end at once, before a word."""
+        """Connections are accepted and reset at once, before anything is sent."""
         self.failing, self.answers = True, False
         for writer in self.writers:
             writer.transport.abort()
@@ -96,31 +97,31 @@
                 writer.transport.abort()
             await asyncio.sleep(0.02)
 
-    async def mend(self) -> None:
+    async def recover(self) -> None:
         self.failing, self.answers = False, True
         if not self.server.is_serving():
-            await self.come_back()
+            await self.restart()
         for writer in self.writers:
-            if writer not in self.over:
+            if writer not in self.closed_writers:
                 self.begin(writer)
 
     def close(self):
-        if self.beat is not None:
-            self.beat.cancel()
+        if self.comment_task is not None:
+            self.comment_task.cancel()
         self.failing = False
         super().close()
 
 
 @dataclass(frozen=True)
 class Outage:
-    """How discovery fails, and how often clients ask (requests a second)."""
+    """How discovery fails, and the rate of requests (per second)."""
 
-    fails: Callable
-    rate: float
+    fail: Callable
+    requests_per_second: float
 
 
 class OutageScene:
-    """One controller process between stand-ins, and clients that ask all the time."""
+    """One controller process with its stand-ins, and clients that send requests all the time."""
 
     def __init__(self, folder, rate: float, seed: int = 1, begins_failing: bool = False):
         self.folder, self.rate, self.chance = folder, rate, random.Random(seed)
@@ -141,24 +142,24 @@
             await self.discovery.refuse()
         else:
             await until(lambda: self.discovery.last_event_ids, 10.0)
-        await until(lambda: "listening address=127.0.0.1:" in self.said(), 10.0)
-        self.port = listening_port(self.said())
+        await until(lambda: "listening address=127.0.0.1:" in self.log_text(), 10.0)
+        self.port = listening_port(self.log_text())
         self.connect()
         self.asking = asyncio.ensure_future(self._ask())
         return self
 
     def start_process(self) -> None:
         hosts = [(f"s-{number}", one.port, "up") for number, one in enumerate(self.invokers)]
-        told = configuration(
+        config = configuration(
             channel=f"127.0.0.1:{self.discovery.port}",
             known={"cursor": 1, "cmds": [entry(1, *hosts, whole=True)]},
         )
         path = self.folder / "config.json"
-        path.write_text(json.dumps(told))
+        path.write_text(json.dumps(config))
         self.errors = open(self.folder / "said", "w+")
         self.process = controller_process(path, stderr=self.errors)
 
-    def said(self) -> str:
+    def log_text(self) -> str:
         return (self.folder / "said").read_text()
 
     def connect(self) -> None:
@@ -187,7 +188,7 @@
             client.raw.send(request_frame(self.streams, id=name, wait=str(int(WAIT)), key=key))
 
     def drain_the_busiest(self) -> None:
-        """Of those that still serve; discovery would tell of it at once."""
+        """Drain the busiest invoker that still serves; discovery, when it works, announces this at once."""
         left = [place for place in range(INVOKERS) if place not in self.drained]
         place = max(left, key=lambda place: len(self.invokers[place].runs()))
         self.invokers[place].drain()
@@ -195,16 +196,20 @@
         self.discovery.change((f"s-{place}", self.invokers[place].port, "draining"))
 
     def late_sends(self, failed_at: float) -> list[str]:
-        """Runs and orders that came to a draining invoker after its drain counted as told and the grace."""
+        """Runs and orders that reached a draining invoker after its drain counted as announced and the grace period."""
         late = []
         for place, began in self.drained.items():
-            due = max(began, failed_at + TOLD_AFTER_BREAK) + GRACE + MACHINE
-            lines = [(words, came) for words, came in self.invokers[place].lines if came > due]
-            late += [f"s-{place} {words[:2]} {came - due:.3f} s late" for words, came in lines if self._is_new(words)]
+            due = max(began, failed_at + ANNOUNCED_AFTER_OUTAGE) + DRAIN_GRACE + MACHINE_ALLOWANCE
+            lines = [(words, received_at) for words, received_at in self.invokers[place].lines if received_at > due]
+            late += [
+                f"s-{place} {words[:2]} {received_at - due:.3f} s late"
+                for words, received_at in lines
+                if self._starts_work(words)
+            ]
         return late
 
     @staticmethod
-    def _is_new(words: list[str]) -> bool:
+    def _starts_work(words: list[str]) -> bool:
         return words[0] == "exec" or words[0] == "ensure" and not words[2].endswith("n=0")
 
     def unanswered(self) -> list[str]:
@@ -222,7 +227,7 @@
         self.asking.cancel()
         await asyncio.sleep(WAIT / 1000.0 + 0.2)
 
-    async def __aexit__(self, *problem):
+    async def __aexit__(self, *exc_info):
         self.asking.cancel()
         for client in self.clients:
             await client.close()
@@ -242,32 +247,32 @@
 
 
 @pytest.mark.parametrize("outage", OUTAGES)
-def test_nothing_new_is_sent_to_an_invoker_that_drains_while_discovery_is_out_of_reach(outage, tmp_path):
+def test_nothing_new_is_sent_to_a_draining_invoker_while_discovery_is_unreachable(outage, tmp_path):
     async def scene():
-        async with OutageScene(tmp_path, outage.rate) as world:
+        async with OutageScene(tmp_path, outage.requests_per_second) as world:
             await asyncio.sleep(1.5)
             failed_at = time.monotonic()
-            await outage.fails(world.discovery)
+            await outage.fail(world.discovery)
             await asyncio.sleep(0.2)
             world.drain_the_busiest()
             world.drain_the_busiest()
             await asyncio.sleep(3.8)
-            # One more, long after the outage counts as noticed: told at once.
+            # One more, long after the outage counts as noticed: its drain counts as announced at once.
             world.drain_the_busiest()
             await asyncio.sleep(2.5)
-            mended_at = time.monotonic()
-            await world.discovery.mend()
+            recovered_at = time.monotonic()
+            await world.discovery.recover()
             await asyncio.sleep(1.5)
             await world.stop_asking()
             assert not world.late_sends(failed_at)
             assert not world.unanswered()
-            assert world.served_share(failed_at, mended_at) > 0.9
-            assert world.served_share(mended_at, time.monotonic()) > 0.9
+            assert world.served_share(failed_at, recovered_at) > 0.9
+            assert world.served_share(recovered_at, time.monotonic()) > 0.9
 
     run_scene(scene)
 
 
-def test_a_controller_that_starts_during_an_outage_checks_from_its_first_request_on(tmp_path):
+def test_a_controller_that_starts_during_an_outage_probes_from_its_first_request_on(tmp_path):
     async def scene():
         async with OutageScene(tmp_path, 30.0, begins_failing=True) as world:
             await asyncio.sleep(1.0)
@@ -276,7 +281,7 @@
             world.drain_the_busiest()
             await asyncio.sleep(2.0)
             await world.stop_asking()
-            # The outage began long before: each drain counts as told at once.
+            # The outage began long before: each drain counts as announced at once.
             assert not world.late_sends(failed_at=0.0)
             assert not world.unanswered()
             assert world.served_share(0.0, time.monotonic()) > 0.9
@@ -284,22 +289,22 @@
     run_scene(scene)
 
 
-def test_an_invoker_that_ends_all_connections_is_told_of_and_idle_ones_that_close_here_are_not():
-    """What a process that comes back unheard of is known by."""
+def test_a_disconnect_is_reported_when_the_invoker_ends_all_connections_but_not_when_idle_ones_close():
+    """A disconnect is how a restart is noticed that discovery did not announce."""
 
     async def scene():
         async with Scene(InvokerStandIn(hit)) as world:
-            told = []
+            inputs_taken = []
             take = world.node.server.batch.take
-            world.node.server.batch.take = lambda now, inputs: (told.extend(inputs), take(now, inputs))
+            world.node.server.batch.take = lambda now, inputs: (inputs_taken.extend(inputs), take(now, inputs))
             await world.warmed()
             world.node.server.invokers["s-0"].close_idle()
             await asyncio.sleep(0.1)
-            assert not [given for given in told if isinstance(given, ms.Disconnected)]
+            assert not [message for message in inputs_taken if isinstance(message, ms.Disconnected)]
             client = await world.client()
             client.send(request_frame(2, id="e" * 16))
             assert await client.answers(1) == [(ANSWER, 2, SERVED)]
             world.invokers[0].writers[-1].transport.abort()
-            await until(lambda: [given for given in told if isinstance(given, ms.Disconnected)])
+            await until(lambda: [message for message in inputs_taken if isinstance(message, ms.Disconnected)])
 
     run_scene(scene)
--- a/tests/test_held_process.py
+++ b/tests/test_held_process.py
@@ -1,4 +1,4 @@
-"""A controller's process gets no processor time while everything comes due; judged from outside when it goes on."""
+"""A controller process is stopped for a while as events arrive and deadlines pass; no rule may be broken afterwards."""
 
 import asyncio
 import json
@@ -21,7 +21,7 @@
     until,
 )
 from platform_world import configuration, frame, request_frame, settings_of_all_effects
-from troubled_scene import CANCEL_SLACK, DEADLINE_SLACK, DRAIN_GRACE
+from troubled_scene import CANCEL_ALLOWANCE, DEADLINE_ALLOWANCE, DRAIN_GRACE
 
 pytestmark = pytest.mark.sockets
 
@@ -29,8 +29,8 @@
 HOLDS = 4
 INVOKERS = 5
 WAIT = 1_500.0
-# Seconds: what the machine may hold up a line on its way.
-MACHINE = 0.1
+# Allowance in seconds for delays of a busy machine.
+MACHINE_ALLOWANCE = 0.1
 
 
 @dataclass
@@ -39,13 +39,13 @@
     group: str
     client: RawClient
     stream: int
-    sent: float
-    # When its client took it back, closed, reset or half-closed.
-    gone: float | None = None
+    sent_at: float
+    # When its client cancelled it, or closed, reset or half-closed the connection.
+    left_at: float | None = None
 
 
 class HeldProcess:
-    """One controller process between stand-ins of this one, which go on while it is held."""
+    """One controller process; its stand-ins run in the test process and go on while it is stopped."""
 
     def __init__(self, seed: int, folder):
         self.chance, self.folder = random.Random(seed), folder
@@ -53,9 +53,9 @@
         self.clients: list[RawClient] = []
         self.streams = 1
         self.drained: dict[InvokerStandIn, float] = {}
-        self.told = 1
-        # Answers that wait until the process is held, by their invoker.
-        self.kept: list[tuple[InvokerStandIn, str]] = []
+        self.last_event = 1
+        # Answers that are sent while the process is stopped, with their invoker.
+        self.delayed_answers: list[tuple[InvokerStandIn, str]] = []
 
     async def __aenter__(self):
         self.channel = await ChannelStandIn().start()
@@ -63,13 +63,13 @@
         for one in self.invokers:
             await one.start()
         hosts = [(f"s-{number}", one.port, "up") for number, one in enumerate(self.invokers)]
-        told = configuration(
+        config = configuration(
             channel=f"127.0.0.1:{self.channel.port}",
             known={"cursor": 1, "cmds": [entry(1, *hosts, whole=True)]},
             settings=settings_of_all_effects(),
         )
         path = self.folder / "config.json"
-        path.write_text(json.dumps(told))
+        path.write_text(json.dumps(config))
         self.errors = open(self.folder / "said", "w+")
         self.process = controller_process(path, stderr=self.errors)
         await until(lambda: self.channel.last_event_ids, 10.0)
@@ -79,13 +79,13 @@
     def _behave(self, number: int):
         def behave(tag: str) -> bytes | None:
             if self.chance.random() < 0.3:
-                self.kept.append((self.invokers[number], tag))
+                self.delayed_answers.append((self.invokers[number], tag))
                 return None
             return hit(tag)
 
         return behave
 
-    async def __aexit__(self, *problem):
+    async def __aexit__(self, *exc_info):
         self.process.send_signal(signal.SIGCONT)
         self.process.kill()
         self.process.wait()
@@ -105,7 +105,7 @@
 
     def _leave(self, client: RawClient) -> None:
         how = self.chance.choice(["close", "reset", "half-close", "cancel"])
-        open_there = [one for one in self.requests if one.client is client and one.gone is None]
+        open_there = [one for one in self.requests if one.client is client and one.left_at is None]
         if how == "cancel":
             if not open_there:
                 return
@@ -116,7 +116,7 @@
         else:
             client.close(reset=how == "reset")
         for one in open_there:
-            one.gone = time.monotonic()
+            one.left_at = time.monotonic()
         if how != "cancel":
             self.clients.remove(client)
 
@@ -125,29 +125,29 @@
         if len(left) > 2:
             one = self.chance.choice(left)
             self.drained[one] = time.monotonic()
-            self.told += 1
-            self.channel.send(event(self.told, (f"s-{self.invokers.index(one)}", one.port, "draining")))
+            self.last_event += 1
+            self.channel.send(event(self.last_event, (f"s-{self.invokers.index(one)}", one.port, "draining")))
 
-    def answer_kept(self) -> None:
-        kept, self.kept = self.kept, []
-        for one, tag in kept:
+    def send_delayed_answers(self) -> None:
+        delayed_answers, self.delayed_answers = self.delayed_answers, []
+        for one, tag in delayed_answers:
             for writer in one.writers:
                 if not writer.is_closing():
                     writer.write(hit(tag))
 
     async def hold(self) -> None:
-        """Stop the process, let things happen, let it go on."""
+        """Stop the process, let events happen, then continue it."""
         for _ in range(6):
             self.ask(self.chance.choice(self.clients))
         await asyncio.sleep(self.chance.random() * 0.03)
         self.process.send_signal(signal.SIGSTOP)
-        acts = [self._drain, self.answer_kept]
-        acts += [lambda: self._leave(self.chance.choice(self.clients)) if len(self.clients) > 2 else None] * 4
-        acts += [lambda: self.ask(self.chance.choice(self.clients))] * 4
-        acts += [self._new_client] * 3
-        self.chance.shuffle(acts)
-        for act in acts:
-            act()
+        actions = [self._drain, self.send_delayed_answers]
+        actions += [lambda: self._leave(self.chance.choice(self.clients)) if len(self.clients) > 2 else None] * 4
+        actions += [lambda: self.ask(self.chance.choice(self.clients))] * 4
+        actions += [self._new_client] * 3
+        self.chance.shuffle(actions)
+        for action in actions:
+            action()
             await asyncio.sleep(self.chance.choice([0.0, 0.0, 0.02]))
         await asyncio.sleep(self.chance.choice([0.2, 0.4, 1.2]))
         self.process.send_signal(signal.SIGCONT)
@@ -164,17 +164,19 @@
         by_name = {one.name: one for one in self.requests}
         found, runs = [], dict.fromkeys(by_name, 0)
         for invoker in self.invokers:
-            for tag, came, limit in invoker.attempts():
+            for tag, received_at, limit in invoker.attempts():
                 if tag not in by_name:
                     continue
                 request = by_name[tag]
                 runs[request.name] += 1
-                left = WAIT / 1000.0 - (came - request.sent)
-                if limit / 1000.0 > left + DEADLINE_SLACK:
+                left = WAIT / 1000.0 - (received_at - request.sent_at)
+                if limit / 1000.0 > left + DEADLINE_ALLOWANCE:
                     found.append(f"{request.name}: told {limit:.0f} ms, {1000 * left:.0f} left")
-                if request.gone is not None and came > request.gone + CANCEL_SLACK + MACHINE:
-                    found.append(f"{request.name}: begun {came - request.gone:.3f} s after its client had gone")
-                if came > self.drained.get(invoker, came) + DRAIN_GRACE + MACHINE:
+                if request.left_at is not None and received_at > request.left_at + CANCEL_ALLOWANCE + MACHINE_ALLOWANCE:
+                    found.append(
+                        f"{request.name}: begun {received_at - request.left_at:.3f} s after its client had left"
+                    )
+                if received_at > self.drained.get(invoker, received_at) + DRAIN_GRACE + MACHINE_ALLOWANCE:
                     found.append(f"{request.name}: sent to one that drains")
         found += [f"{name}: ran {n} times" for name, n in runs.items() if n > 1 and by_name[name].group == "once"]
         return found
@@ -183,9 +185,13 @@
         found = []
         for client in self.clients:
             due = [one for one in self.requests if one.client is client]
-            there = [one for one in due if one.gone is None]
-            heard = [stream for kind, stream, _ in await client.answers(len(due) + 1, 0.2) if kind == 17]
-            found += [f"{one.name}: {heard.count(one.stream)} answers" for one in there if heard.count(one.stream) != 1]
+            still_open = [one for one in due if one.left_at is None]
+            answered = [stream for kind, stream, _ in await client.answers(len(due) + 1, 0.2) if kind == 17]
+            found += [
+                f"{one.name}: {answered.count(one.stream)} answers"
+                for one in still_open
+                if answered.count(one.stream) != 1
+            ]
         return found
 
 
@@ -204,9 +210,10 @@
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
-def test_what_comes_due_while_the_process_is_held_breaks_no_rule(seed, tmp_path):
-    """A second play only for a hold between the last look at a socket and the call that writes to it, which no program
-    can close: none in 48 plays; without the guards at least 8 of these 10 seeds broke rules."""
+def test_events_while_the_process_is_stopped_break_no_rule(seed, tmp_path):
+    """A failed run is repeated once: the process may be stopped between the last check of a socket and the write to it,
+    which no program can prevent. That happened in none of 48 runs; without the checks before writes, at least 8 of
+    these 10 seeds broke rules."""
 
     async def scene():
         found = await broken_rules(seed, tmp_path)
@@ -228,7 +235,7 @@
             world.ask(world.clients[-1])
         world.process.send_signal(signal.SIGTERM)
         await asyncio.sleep(world.chance.choice([0.05, 0.3, 0.8]))
-        world.answer_kept()
+        world.send_delayed_answers()
         world.process.send_signal(signal.SIGCONT)
         for _ in range(6):
             await asyncio.sleep(world.chance.choice([0.0, 0.05, 0.15]))
@@ -241,8 +248,8 @@
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
-def test_a_process_told_to_end_while_it_is_held_answers_all_that_it_was_asked(seed, tmp_path):
-    """All answers in every play; a second one for the times alone, as above."""
+def test_a_process_asked_to_end_while_stopped_answers_all_requests(seed, tmp_path):
+    """Every run must return all answers; only broken time limits allow a second run, as above."""
 
     async def scene():
         found = await broken_rules_at_the_end(seed, tmp_path)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""The platform's door on loopback, between small stand-ins of invokers, channel and clients."""
+"""The node on loopback, with small stand-ins for invokers, command channel and clients."""
 
 import asyncio
 import json
@@ -20,13 +20,13 @@
 
 
 class StandIn:
-    """An invoker: `behave(command, tag, body)` gives what it writes; None: nothing at all."""
+    """An invoker: `behave(command, tag, body)` returns what it writes; None: nothing."""
 
     def __init__(self, behave=None):
         self.behave = behave or (
             lambda command, tag, body: f"{tag} HIT tell=resident {len(body)}\r\n".encode() + body + b"\r\n"
         )
-        self.heard, self.connections, self.writers = [], 0, []
+        self.received, self.connections, self.writers = [], 0, []
 
     async def start(self):
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
@@ -42,7 +42,7 @@
                 body = b""
                 if words[0] == "exec":
                     body = (await reader.readexactly(int(words[3]) + 2))[:-2]
-                self.heard.append((words, body, time.monotonic()))
+                self.received.append((words, body, time.monotonic()))
                 out = self.behave(words[0], words[1], body)
                 if asyncio.iscoroutine(out):
                     out = await out
@@ -54,14 +54,14 @@
             pass
 
     def runs(self):
-        return [words for words, _, _ in self.heard if words[0] == "exec"]
+        return [words for words, _, _ in self.received if words[0] == "exec"]
 
 
 class ChannelStandIn:
-    """The command channel: each connection plays the next list of lines; "end" breaks it off."""
+    """The command channel: each connection writes the next list of texts and then ends; the last one stays open."""
 
-    def __init__(self, *plays):
-        self.plays, self.last_event_ids, self.comments = list(plays), [], True
+    def __init__(self, *scripts):
+        self.scripts, self.last_event_ids, self.comments = list(scripts), [], True
 
     async def start(self):
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
@@ -75,9 +75,9 @@
         )
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
         try:
-            for text in self.plays.pop(0) if self.plays else ():
+            for text in self.scripts.pop(0) if self.scripts else ():
                 writer.write(text)
-            if not self.plays:
+            if not self.scripts:
                 while True:
                     if self.comments:
                         writer.write(b": still here\n\n")
@@ -92,7 +92,7 @@
         self.reader, self.writer = reader, writer
 
     async def answer(self):
-        """(type, stream, code, rest) of the next frame; None at the connection's end."""
+        """Returns (type, stream, code, rest) of the next frame; None when the connection has ended."""
         try:
             size = int.from_bytes(await self.reader.readexactly(4), "big")
             data = await self.reader.readexactly(size)
@@ -114,11 +114,11 @@
             await invoker.start()
         await self.channel.start()
         first = entry(1, *[(f"s-{n}", one.port, "up") for n, one in enumerate(self.invokers)], whole=True)
-        told = configuration(channel=f"127.0.0.1:{self.channel.port}", known={"cursor": 1, "cmds": [first]})
-        told.update(self.change)
-        self.node = Node("", read(json.dumps(told).encode()), Log("error"))
+        config = configuration(channel=f"127.0.0.1:{self.channel.port}", known={"cursor": 1, "cmds": [first]})
+        config.update(self.change)
+        self.node = Node("", read(json.dumps(config).encode()), Log("error"))
         self.port = await self.node.start()
-        # Until discovery is heard invokers are checked before they are sent to.
+        # Until discovery is received, invokers are probed before they are used.
         while self.node.channel.up_to_date_at is None:
             await asyncio.sleep(0.01)
         await asyncio.sleep(0.01)
@@ -127,24 +127,24 @@
     async def client(self):
         return Client(*await asyncio.open_connection("127.0.0.1", self.port))
 
-    async def __aexit__(self, *problem):
+    async def __aexit__(self, *exc_info):
         self.node.close()
         for one in [*self.invokers, self.channel]:
             one.server.close()
         await asyncio.sleep(0.02)
 
 
-def test_a_body_comes_back_byte_for_byte_and_each_request_is_passed_on_unchanged():
+def test_bodies_and_requests_are_passed_on_unchanged():
     async def scene():
         async with World([StandIn()]) as world:
             client, body = await world.client(), bytes(range(256)) + b"\r\n"
             assert await client.ask(frame(32, 0)) == (33, 0, 0, b"\0")
             limits = []
             for n in range(1, 5):
-                # A stall of the machine is taken off the limit: one of four on a crowded one meets none.
+                # A stall of the machine reduces the limit; one of four requests meets none even on a busy machine.
                 sent = request_frame(n, body, id=f"{n:016x}", once="ab" * 16, **{"class": "publish"})
                 assert await client.ask(sent) == (17, n, 0, b"\0" + body)
-                words, got, _ = world.invokers[0].heard[n - 1]
+                words, got, _ = world.invokers[0].received[n - 1]
                 fields = dict(part.split("=") for part in words[2].split(","))
                 limits.append(int(fields.pop("limit")))
                 assert fields == {"cls": "publish", "item": KEY, "nonce": "ab" * 16}
@@ -155,7 +155,7 @@
     run_scene(scene)
 
 
-def test_noise_ends_its_connection_alone_and_what_was_open_goes_on_elsewhere():
+def test_invalid_input_ends_only_its_connection_and_open_requests_go_elsewhere():
     async def scene():
         bad = StandIn(lambda command, tag, body: b"@@ noise\r\n")
         async with World([bad, StandIn()]) as world:
@@ -167,7 +167,7 @@
     run_scene(scene)
 
 
-def test_a_late_answer_to_an_earlier_forward_never_ends_the_next_at_the_same_invoker():
+def test_a_late_answer_never_ends_the_next_forward_at_the_same_invoker():
     async def scene():
         async def behave(command, tag, body):
             if command != "exec":
@@ -181,18 +181,18 @@
             client = await world.client()
             server = world.node.server
             invoker = server.invoker("s-0")
-            heard = []
+            ends = []
             tag = "a" * 16
             for _ in range(2):
                 done = asyncio.Event()
                 invoker.request(
                     tag,
                     lambda link: link.run(tag, "call", KEY, invoker.now() + 500, "", b""),
-                    lambda end, done=done: (heard.append(end), done.set()),
+                    lambda end, done=done: (ends.append(end), done.set()),
                 )
                 await asyncio.wait_for(done.wait(), 2)
-            # The second copy of the first answer finds nobody: the second run is on a connection of its own.
-            assert one.connections == 2 and [end.outcome.value for end in heard] == ["miss", "returned"]
+            # A second copy of the first answer would match no request: the second run uses another connection.
+            assert one.connections == 2 and [end.outcome.value for end in ends] == ["miss", "returned"]
             client.writer.close()
 
     run_scene(scene)
@@ -216,7 +216,7 @@
     run_scene(scene)
 
 
-def test_what_is_given_up_is_answered_at_once_with_a_time_to_come_back():
+def test_a_shed_request_is_answered_at_once_with_a_retry_time():
     async def scene():
         async with World([]) as world:
             client, began = await world.client(), time.monotonic()
@@ -227,11 +227,11 @@
     run_scene(scene)
 
 
-def test_every_kind_of_bad_client_hears_of_it_in_time_and_is_never_served():
+def test_every_kind_of_bad_client_gets_an_error_in_time_and_is_never_served():
     async def scene():
         async with World([StandIn()]) as world:
 
-            async def told(data, rest=b""):
+            async def send_bad_input(data, rest=b""):
                 client, began = await world.client(), time.monotonic()
                 client.writer.write(data)
                 try:
@@ -248,7 +248,7 @@
 
             await asyncio.gather(
                 *map(
-                    told,
+                    send_bad_input,
                     [
                         b"",
                         b"\0\0\0\x20",
@@ -263,8 +263,8 @@
                         b"".join(request_frame(n, id=f"{n:016x}") for n in range(1, 200)),
                     ],
                 ),
-                # Its error is not lost for all that is still to be read.
-                told((60_000_000).to_bytes(4, "big"), bytes(20_000_000)),
+                # The error is not lost although much input is still unread.
+                send_bad_input((60_000_000).to_bytes(4, "big"), bytes(20_000_000)),
             )
             assert len(world.invokers[0].runs()) <= 1
             usual = await world.client()
@@ -273,7 +273,7 @@
     run_scene(scene)
 
 
-def test_requests_taken_back_at_once_reach_nobody_and_cost_no_forward():
+def test_requests_cancelled_at_once_cause_no_forward():
     async def scene():
         async with World([StandIn()]) as world:
             client = await world.client()
@@ -284,7 +284,7 @@
     run_scene(scene)
 
 
-def test_connections_beyond_the_bound_make_room_by_the_silent_ones():
+def test_silent_connections_are_evicted_beyond_the_connection_limit():
     async def scene():
         async with World([StandIn()], limits={"memory_mb": 64, "sockets": 64}) as world:
             usual = await world.client()
@@ -299,21 +299,21 @@
     run_scene(scene)
 
 
-def test_the_channel_is_asked_again_from_the_last_number_and_newcomers_inherit_nothing():
+def test_the_channel_resumes_after_the_last_event_and_new_invokers_inherit_no_connections():
     async def scene():
         new = await StandIn().start()
         old = StandIn()
 
         def line(number, *hosts):
-            told = json.dumps(entry(number, *hosts)).encode()
-            return b"id: %d\ndata: %b\n\n" % (number, told)
+            data = json.dumps(entry(number, *hosts)).encode()
+            return b"id: %d\ndata: %b\n\n" % (number, data)
 
         channel = ChannelStandIn()
         async with World([old], channel) as world:
             client = await world.client()
             assert (await client.ask(request_frame(1)))[2] == 0
             two, three = line(2, ("s-0", old.port, "removed"), ("s-1", new.port, "up")), line(3, ("s-2", 9, "draining"))
-            channel.plays = [[two, two, line(4), three[:20]], [three]]
+            channel.scripts = [[two, two, line(4), three[:20]], [three]]
             world.node.channel.wire.transport.abort()
             while world.node.server.roster.last < 3:
                 await asyncio.sleep(0.01)
@@ -325,7 +325,7 @@
     run_scene(scene)
 
 
-def test_a_silent_channel_is_left_for_a_new_connection():
+def test_a_silent_channel_is_replaced_by_a_new_connection():
     async def scene():
         channel = ChannelStandIn()
         async with World([StandIn()], channel):
@@ -337,7 +337,7 @@
     run_scene(scene)
 
 
-def test_an_invoker_that_stops_half_way_is_noticed_before_the_time_is_up():
+def test_an_incomplete_answer_is_detected_before_the_deadline():
     async def scene():
         half = StandIn(lambda command, tag, body: f"{tag} HIT - 50\r\nabc".encode() if command == "exec" else None)
         async with World([half, StandIn()]) as world:
@@ -349,13 +349,13 @@
     run_scene(scene)
 
 
-def started(tmp_path, port, **change):
+def start_process(tmp_path, port, **change):
     path = tmp_path / "config.json"
     path.write_text(json.dumps(configuration(listen=f"127.0.0.1:{port}", **change)))
     return path, controller_process(path, stderr=subprocess.PIPE)
 
 
-def test_signals_a_new_channel_by_sighup_a_broken_file_refused_and_a_graceful_end(tmp_path):
+def test_sighup_changes_the_channel_or_refuses_a_broken_file_and_sigterm_stops_gracefully(tmp_path):
     async def scene():
         one = await StandIn(lambda command, tag, body: slow(tag)).start()
         channels = [await ChannelStandIn().start() for _ in range(2)]
@@ -364,7 +364,7 @@
         free.close()
         await free.wait_closed()
         known = {"cursor": 1, "cmds": [entry(1, ("s-0", one.port, "up"), whole=True)]}
-        path, process = started(tmp_path, port, channel=f"127.0.0.1:{channels[0].port}", known=known)
+        path, process = start_process(tmp_path, port, channel=f"127.0.0.1:{channels[0].port}", known=known)
         try:
             while not channels[0].last_event_ids:
                 await asyncio.sleep(0.02)
@@ -389,8 +389,8 @@
                 got = [await asyncio.wait_for(each.answer(), 5) for _ in range(2)]
                 assert sorted(answer[0] for answer in got) == [17, 48] and any(a[:3] == (17, 1, 0) for a in got)
             assert await asyncio.to_thread(process.wait, 5) == 0
-            said = process.stderr.read()
-            assert "new configuration refused" in said and "Traceback" not in said and "stopped" in said
+            log_text = process.stderr.read()
+            assert "new configuration refused" in log_text and "Traceback" not in log_text and "stopped" in log_text
         finally:
             process.kill()
             process.wait()
@@ -403,7 +403,7 @@
     run_scene(scene)
 
 
-def test_a_bad_start_is_one_line_and_status_2(tmp_path):
+def test_a_failed_start_prints_one_line_and_exits_with_status_2(tmp_path):
     path = tmp_path / "bad.json"
     path.write_text(json.dumps({"settings": {}}))
     for env in ({}, {"RELAY_CONFIG": str(tmp_path / "none")}, {"RELAY_CONFIG": str(path)}):
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -1,4 +1,4 @@
-"""What the log says of refusals, of discovery that is not heard, and of the counts."""
+"""Log lines about refusals, silent discovery and the counts."""
 
 import asyncio
 
@@ -13,20 +13,20 @@
 
 
 class KeptLog(Log):
-    """Keeps each line as its event and facts."""
+    """Keeps each line as its event and fields."""
 
     def __init__(self):
         super().__init__("info")
-        self.kept: list[tuple[str, dict]] = []
+        self.entries: list[tuple[str, dict]] = []
 
-    def _line(self, level, event, facts):
-        self.kept.append((event, facts))
+    def _line(self, level, event, fields):
+        self.entries.append((event, fields))
 
-    def facts(self, event: str) -> list[dict]:
-        return [facts for one, facts in self.kept if one == event]
+    def fields(self, event: str) -> list[dict]:
+        return [fields for name, fields in self.entries if name == event]
 
 
-def test_refusals_are_one_line_a_second_by_invoker():
+def test_refusals_are_logged_once_a_second_by_invoker():
     log, counts = KeptLog(), Counts(taken=4, turned_away=4)
     reports = Reports(log, counts, lambda: {"owed": 1}, 0.0)
     for number in range(3):
@@ -35,29 +35,29 @@
     reports.add_refusal("s-2", "r3")
     reports.write_due(1_100.0)
     reports.write_due(9_000.0)
-    assert log.kept == [
+    assert log.entries == [
         ("turned away by invokers", {"attempts": 4, "invokers": 2, "by": "s-1:3,s-2:1", "last_request": "r3"})
     ]
     reports.write_due(10_000.0)
-    assert log.facts("status") == [{"owed": 1, "counts": '{"taken":4,"turned_away":4}'}]
+    assert log.fields("status") == [{"owed": 1, "counts": '{"taken":4,"turned_away":4}'}]
 
 
 @pytest.mark.sockets
-def test_discovery_that_falls_silent_is_told_once_and_refusals_are_counted():
+def test_silent_discovery_is_logged_once_and_refusals_are_counted():
     async def scene():
         async with Scene(InvokerStandIn(turned_away)) as world:
             log = world.node.log = world.node.channel.log = KeptLog()
-            # A new watch hears nothing either.
+            # A new watch receives nothing either.
             world.channel.answers = False
             await asyncio.sleep(1.9)
-            (silence,) = log.facts("discovery not heard")
+            (silence,) = log.fields("discovery not heard")
             assert 1_600 < silence["for_ms"] < 1_900 and silence["last_event"] == 1
             world.channel.send(b"id: 2\ndata: {", watch=0)
             await asyncio.sleep(0.2)
-            assert not log.facts("discovery heard again")
+            assert not log.fields("discovery heard again")
             world.channel.send(b"}\n\n", watch=0)
             await asyncio.sleep(0.2)
-            (again,) = log.facts("discovery heard again")
+            (again,) = log.fields("discovery heard again")
             assert again["after_ms"] > 1_900 and again["last_event"] == 2
             client = await world.client()
             client.send(request_frame(1))
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals that cross each other, the start and what is owed, on the process that the platform runs."""
+"""Signals during start, reconfiguration and shutdown of the process that the platform runs."""
 
 import asyncio
 import json
@@ -15,7 +15,7 @@
 
 
 class Process:
-    """One controller process between stand-ins; `config` is the file that it was started with."""
+    """One controller process and its stand-ins; `config` is the path of its configuration file."""
 
     def __init__(self, folder, invoker: InvokerStandIn, channel: ChannelStandIn):
         self.invoker, self.channel = invoker, channel
@@ -28,8 +28,8 @@
 
     def write(self, channel_port: int):
         known = {"cursor": 1, "cmds": [entry(1, ("s-0", self.invoker.port, "up"), whole=True)]}
-        told = configuration(listen=f"127.0.0.1:{self.port}", channel=f"127.0.0.1:{channel_port}", known=known)
-        self.config.write_text(json.dumps(told))
+        settings = configuration(listen=f"127.0.0.1:{self.port}", channel=f"127.0.0.1:{channel_port}", known=known)
+        self.config.write_text(json.dumps(settings))
 
     async def serving(self):
         await until(lambda: self.channel.last_event_ids, 10.0)
@@ -41,9 +41,9 @@
         self.popen.kill()
         self.popen.wait()
         assert self.popen.stderr is not None
-        said = self.popen.stderr.read()
+        log_text = self.popen.stderr.read()
         self.popen.stderr.close()
-        return said
+        return log_text
 
 
 def with_process(tmp_path, scene, behave=hit):
@@ -53,15 +53,15 @@
         try:
             await scene(process)
         finally:
-            said = process.close()
+            log_text = process.close()
             invoker.close()
             channel.close()
-        assert "Traceback" not in said, said
+        assert "Traceback" not in log_text, log_text
 
     run_scene(run)
 
 
-def test_a_second_sigterm_and_a_sighup_during_the_end_change_nothing(tmp_path):
+def test_a_second_sigterm_and_a_sighup_during_shutdown_change_nothing(tmp_path):
     async def scene(process):
         other = await ChannelStandIn().start()
         await process.serving()
@@ -73,7 +73,7 @@
         process.popen.send_signal(signal.SIGTERM)
         process.write(other.port)
         process.popen.send_signal(signal.SIGHUP)
-        # Discovery goes on to be heard at its new address, and what comes is answered.
+        # Discovery continues at its new address, and new requests are answered.
         await until(lambda: other.last_event_ids)
         client.send(request_frame(2))
         assert (17, 2, 0) in await client.answers(2)
@@ -83,9 +83,9 @@
     with_process(tmp_path, scene)
 
 
-def test_sigterm_while_the_process_starts_ends_it_without_a_trace(tmp_path):
+def test_sigterm_during_start_ends_the_process_without_a_traceback(tmp_path):
     async def scene(process):
-        # Before the interpreter has read the program, and a little later.
+        # The signal arrives around the time at which the interpreter loads the program.
         await asyncio.sleep(0.15)
         process.popen.send_signal(signal.SIGTERM)
         assert await process.ended(6.0) in (0, -signal.SIGTERM)
@@ -96,7 +96,7 @@
         with_process(folder, scene)
 
 
-def test_an_unreadable_new_configuration_is_one_line_and_the_old_one_stands(tmp_path):
+def test_an_unreadable_new_configuration_is_refused_and_the_old_one_kept(tmp_path):
     async def scene(process):
         await process.serving()
         process.config.unlink()
@@ -105,7 +105,7 @@
         client = RawClient(process.port)
         client.send(request_frame(1))
         assert await client.answers(1) == [(17, 1, 0)]
-        # It comes while it is still tried: a read that fails for a moment loses no configuration.
+        # The file appears while reads are still retried: a temporary read error loses no configuration.
         other = await ChannelStandIn().start()
         process.write(other.port)
         await until(lambda: other.last_event_ids)
@@ -136,7 +136,7 @@
     with_process(tmp_path, scene)
 
 
-def test_an_address_that_another_process_still_holds_is_waited_for(tmp_path):
+def test_start_waits_for_an_address_that_another_process_still_holds(tmp_path):
     async def scene(process):
         await process.serving()
         second = controller_process(process.config, stderr=subprocess.DEVNULL)
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -1,4 +1,4 @@
-"""Pairs of troubles that overlap, drawn by seed, on the running controller: no rule is broken."""
+"""Pairs of overlapping troubles, chosen by seed, on a running controller: no rule may be broken."""
 
 import random
 
@@ -36,49 +36,49 @@
     run_scene(scene)
 
 
-# The judge itself: controllers that each lack what a rule rests on
+# Checks of the rules themselves: each controller here has a fault that a rule must detect
 
 
 def broken_rules(folder, troubles, settings=None):
-    """The rules that are told to be broken, by their numbers."""
+    """Returns the numbers of the rules reported as broken."""
     found = []
 
     async def scene():
         found.extend(await TroubledWorld(1, folder, settings).play(troubles))
 
     run_scene(scene)
-    return {what.split(":")[0] for what in found}
+    return {rule.split(":")[0] for rule in found}
 
 
-def test_a_controller_that_runs_again_what_must_run_once_is_told(tmp_path):
-    wrong = settings_of_all_effects()
-    wrong["profiles"][-1]["effect"] = wrong["profiles"][0]["effect"]
-    assert "2" in broken_rules(tmp_path, [one_hangs, idle_connections_reset], wrong)
+def test_a_controller_that_repeats_a_request_that_must_run_once_is_detected(tmp_path):
+    wrong_settings = settings_of_all_effects()
+    wrong_settings["profiles"][-1]["effect"] = wrong_settings["profiles"][0]["effect"]
+    assert "2" in broken_rules(tmp_path, [one_hangs, idle_connections_reset], wrong_settings)
 
 
-def test_a_controller_that_tells_more_time_than_is_left_is_told(tmp_path, monkeypatch):
-    honest = lines._Line.written
-    monkeypatch.setattr(lines._Line, "written", lambda line, now: honest(line, now - 1_000.0))
+def test_a_controller_that_sends_too_long_time_limits_is_detected(tmp_path, monkeypatch):
+    original = lines._Line.written
+    monkeypatch.setattr(lines._Line, "written", lambda line, now: original(line, now - 1_000.0))
     assert broken_rules(tmp_path, [one_hangs]) == {"1"}
 
 
-def test_a_controller_that_does_not_hear_of_drains_is_told(tmp_path, monkeypatch):
-    honest = GatewayServer.apply_roster
+def test_a_controller_that_ignores_drains_is_detected(tmp_path, monkeypatch):
+    original = GatewayServer.apply_roster
 
-    def deaf(door, news):
-        news.rows[:] = [row for row in news.rows if row.status == it.Status.IN_SERVICE.value]
-        honest(door, news)
+    def without_drains(server, change):
+        change.rows[:] = [row for row in change.rows if row.status == it.Status.IN_SERVICE.value]
+        original(server, change)
 
-    monkeypatch.setattr(GatewayServer, "apply_roster", deaf)
+    monkeypatch.setattr(GatewayServer, "apply_roster", without_drains)
     assert "3" in broken_rules(tmp_path, [one_drains])
 
 
-def test_a_controller_that_loses_an_answer_is_told(tmp_path, monkeypatch):
-    honest = FrontLink.returned
+def test_a_controller_that_loses_an_answer_is_detected(tmp_path, monkeypatch):
+    original = FrontLink.returned
 
-    def forgetful(link, stream, body):
+    def losing_answers(link, stream, body):
         if stream % 10 != 7:
-            honest(link, stream, body)
+            original(link, stream, body)
 
-    monkeypatch.setattr(FrontLink, "returned", forgetful)
+    monkeypatch.setattr(FrontLink, "returned", losing_answers)
     assert "1" in broken_rules(tmp_path, [])
--- a/tests/troubled_scene.py
+++ b/tests/troubled_scene.py
@@ -1,4 +1,4 @@
-"""Troubles of production on a running controller, on real sockets, and the five rules told of what they led to."""
+"""Troubles of production on a running controller, on real sockets, and a check of the rules afterwards."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from platform_world import configuration, frame, request_frame, settings_of_all_effects
 
 ANSWER = 17
-# Seconds: for what a busy machine holds up on either side; the rules' own slacks.
-MACHINE_SLACK, DEADLINE_SLACK, CANCEL_SLACK = 0.25, 0.15, 0.1
+# Allowances in seconds: for delays of a busy machine on either side, and those of the rules themselves.
+MACHINE_ALLOWANCE, DEADLINE_ALLOWANCE, CANCEL_ALLOWANCE = 0.25, 0.15, 0.1
 DRAIN_GRACE = 0.5
 CLASSES = ["call", "publish", "once"]
 REQUEST_ID = "{:016x}"
 
 
 class ReplayingChannel(ChannelStandIn):
-    """Tells each watch what it has not heard; can go away and come back at its address."""
+    """Sends each watch the events that it has not received; can be shut down and restarted at its address."""
 
     def __init__(self):
         super().__init__()
@@ -31,13 +31,13 @@
 
     def begin(self, writer):
         super().begin(writer)
-        heard = int(self.last_event_ids[-1])
+        last_event_id = int(self.last_event_ids[-1])
         for number, data in self.events:
-            if number > heard:
+            if number > last_event_id:
                 writer.write(data)
 
     def change(self, *hosts: tuple, whole: bool = False) -> None:
-        """One more event, to all watches that stand."""
+        """Send one more event to all open watches."""
         self.last += 1
         data = event(self.last, *hosts, whole=whole)
         self.events.append((self.last, data))
@@ -45,15 +45,15 @@
 
     def write(self, data: bytes) -> None:
         for writer in self.writers:
-            if writer not in self.over and not writer.is_closing():
+            if writer not in self.closed_writers and not writer.is_closing():
                 writer.write(data)
 
-    async def go_away(self) -> None:
+    async def shut_down(self) -> None:
         self.server.close()
         for writer in self.writers:
             writer.transport.abort()
 
-    async def come_back(self) -> None:
+    async def restart(self) -> None:
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
 
 
@@ -69,7 +69,7 @@
 
 @dataclass
 class Client:
-    """One client, what it sent and what came back."""
+    """One client, the requests that it sent and the answers that it received."""
 
     raw: RawClient
     sent: dict[str, Sent] = field(default_factory=dict)
@@ -79,19 +79,19 @@
     listener: asyncio.Future | None = None
 
     async def close(self, reset: bool = False) -> None:
-        """Stop listening first: the loop must not go on with a number that is another socket's by then."""
+        """Stop listening first: the descriptor may be reused, and the loop must not read from another socket."""
         if self.listener is not None:
             self.listener.cancel()
             await asyncio.wait([self.listener])
         self.raw.close(reset)
 
     async def listen(self) -> None:
-        """Note each answer until the connection's end."""
+        """Record each answer until the connection ends."""
         loop, data = asyncio.get_running_loop(), b""
         self.raw.sock.setblocking(False)
         try:
-            while part := await loop.sock_recv(self.raw.sock, 65_536):
-                frames, data = cut_frames(data + part)
+            while chunk := await loop.sock_recv(self.raw.sock, 65_536):
+                frames, data = cut_frames(data + chunk)
                 self.answers += [(stream, time.monotonic()) for kind, stream, _ in frames if kind == ANSWER]
         except OSError:
             pass
@@ -99,7 +99,7 @@
 
 
 class TroubledWorld:
-    """Three clients that ask all the time, four invokers, one controller; troubles act on it."""
+    """Three clients that send requests all the time, four invokers and one controller, with injected troubles."""
 
     def __init__(self, seed: int, folder, settings: dict | None = None):
         self.chance = random.Random(seed)
@@ -108,31 +108,31 @@
         self.scene.channel = self.channel = ReplayingChannel()
         self.file = folder / "configuration.json"
         self.clients: list[Client] = []
-        # Invokers by their place that refuse at once, or answer nothing; requests that are dropped without a word.
+        # Indexes of invokers that refuse at once, or answer nothing; requests that invokers drop without an answer.
         self.refusing: set[int] = set()
         self.silent: set[int] = set()
         self.dropped: set[str] = set()
-        self.missed: Counter = Counter()
+        self.refusals: Counter = Counter()
         self.draining: dict[int, float] = {}
-        self.quiet = False
-        self.shortest = 1_200.0
+        self.paused = False
+        self.min_wait_ms = 1_200.0
         self.stopping: asyncio.Task | None = None
 
-    # What invokers do
+    # Behaviour of the invokers
 
     def _behave(self, tag: str) -> bytes | None:
         place = next(n for n, one in enumerate(self.invokers) if one.lines and one.lines[-1][0][1] == tag)
         if place in self.silent or tag in self.dropped:
             return None
         if place in self.refusing:
-            self.missed[tag] += 1
+            self.refusals[tag] += 1
             return turned_away(tag)
         return hit(tag)
 
-    # The day
+    # One run
 
     async def play(self, troubles: list[Callable[[TroubledWorld], Awaitable[None]]], lasts: float = 2.0) -> list[str]:
-        """All troubles within the time, clients beside them; gives what rules were broken."""
+        """Run all troubles and the clients for the time; returns the rules that were broken."""
         async with self.scene:
             self.scene.node.path = str(self.file)
             self.write_configuration(self.channel.port)
@@ -140,11 +140,11 @@
                 self.clients.append(Client(await self.scene.client()))
             for client in self.clients:
                 client.listener = asyncio.ensure_future(client.listen())
-            acts = [asyncio.ensure_future(self._later(trouble)) for trouble in troubles]
-            await self._ask(lasts)
-            await asyncio.gather(*acts)
+            tasks = [asyncio.ensure_future(self._start_later(trouble)) for trouble in troubles]
+            await self._send_requests(lasts)
+            await asyncio.gather(*tasks)
             if self.stopping is None:
-                await asyncio.sleep(1.3 + MACHINE_SLACK)
+                await asyncio.sleep(1.3 + MACHINE_ALLOWANCE)
             else:
                 await self.stopping
                 await asyncio.sleep(0.1)
@@ -153,20 +153,20 @@
                 await client.close()
         return broken
 
-    async def _later(self, trouble):
+    async def _start_later(self, trouble):
         await asyncio.sleep(self.chance.uniform(0.1, 0.8))
         await trouble(self)
 
-    async def _ask(self, lasts: float):
+    async def _send_requests(self, lasts: float):
         until, number = time.monotonic() + lasts, 0
-        leaves_at = time.monotonic() + self.chance.uniform(0.5, 1.5)
+        leave_at = time.monotonic() + self.chance.uniform(0.5, 1.5)
         while time.monotonic() < until:
             await asyncio.sleep(0.02)
-            leaver = self.clients[-1]
-            if leaver.left_at is None and time.monotonic() >= leaves_at:
-                await leaver.close(reset=self.chance.random() < 0.5)
-                leaver.left_at = time.monotonic()
-            if self.quiet or self.stopping is not None:
+            leaving_client = self.clients[-1]
+            if leaving_client.left_at is None and time.monotonic() >= leave_at:
+                await leaving_client.close(reset=self.chance.random() < 0.5)
+                leaving_client.left_at = time.monotonic()
+            if self.paused or self.stopping is not None:
                 continue
             number += 1
             client = self.clients[number % 3]
@@ -175,8 +175,8 @@
 
     def _send(self, client: Client, number: int):
         name, group = REQUEST_ID.format(number), self.chance.choice(CLASSES)
-        wait = round(self.chance.uniform(self.shortest, max(self.shortest, min(50.0, 1_200.0))))
-        wait = wait if self.shortest < 50.0 and self.chance.random() < 0.5 else 1_200
+        wait = round(self.chance.uniform(self.min_wait_ms, max(self.min_wait_ms, min(50.0, 1_200.0))))
+        wait = wait if self.min_wait_ms < 50.0 and self.chance.random() < 0.5 else 1_200
         if wait < 50:
             self.dropped.add(name)
         more = {"class": group, "wait": str(wait), "key": REQUEST_ID.format(number % 5)}
@@ -186,48 +186,56 @@
         client.raw.send(request_frame(number, id=name, **more))
 
     def write_configuration(self, port: int) -> None:
-        told = configuration(channel=f"127.0.0.1:{port}", settings=settings_of_all_effects())
-        self.file.write_text(json.dumps(told))
+        config = configuration(channel=f"127.0.0.1:{port}", settings=settings_of_all_effects())
+        self.file.write_text(json.dumps(config))
 
     # The rules
 
     def _broken(self) -> list[str]:
         broken = []
-        begun = self._begun()
+        attempts_by_request = self._attempts_by_request()
         for client in self.clients:
             counts = Counter(stream for stream, _ in client.answers)
             at = dict(reversed(client.answers))
             for name, sent in client.sent.items():
-                due = sent.at + sent.wait + DEADLINE_SLACK + MACHINE_SLACK
+                due = sent.at + sent.wait + DEADLINE_ALLOWANCE + MACHINE_ALLOWANCE
                 if client.left_at is None and counts[sent.stream] != 1:
-                    broken.append(f"1: {name} has {counts[sent.stream]} answers, {begun.get(name)}")
+                    broken.append(f"1: {name} has {counts[sent.stream]} answers, {attempts_by_request.get(name)}")
                 if client.left_at is None and sent.stream in at and at[sent.stream] > due:
                     broken.append(f"1: {name} answered {at[sent.stream] - due:.3f} s after its time")
-                broken += self._of_attempts(client, name, sent, begun.get(name, []), at.get(sent.stream))
-        for place, told in self.draining.items():
-            late = [w for w, came in self.invokers[place].lines if came > told + DRAIN_GRACE + DEADLINE_SLACK]
+                broken += self._broken_by_attempts(
+                    client, name, sent, attempts_by_request.get(name, []), at.get(sent.stream)
+                )
+        for place, drain_sent_at in self.draining.items():
+            late = [
+                words
+                for words, received_at in self.invokers[place].lines
+                if received_at > drain_sent_at + DRAIN_GRACE + DEADLINE_ALLOWANCE
+            ]
             broken += [f"3: {words[:2]} sent to the draining invoker {place}" for words in late if words[0] != "drop"]
         return broken
 
-    def _begun(self) -> dict[str, list[tuple[float, float]]]:
-        """By request: when each attempt came, and the time that it was told to have left."""
-        begun: dict[str, list[tuple[float, float]]] = {}
+    def _attempts_by_request(self) -> dict[str, list[tuple[float, float]]]:
+        """By request: when each attempt was received, and the time limit that it carried (seconds)."""
+        attempts_by_request: dict[str, list[tuple[float, float]]] = {}
         for one in self.invokers:
             for attempt in one.attempts():
-                begun.setdefault(attempt.tag, []).append((attempt.came, attempt.limit / 1000.0))
-        return begun
+                attempts_by_request.setdefault(attempt.tag, []).append((attempt.received_at, attempt.limit / 1000.0))
+        return attempts_by_request
 
-    def _of_attempts(self, client: Client, name: str, sent: Sent, attempts: list, answered: float | None) -> list[str]:
+    def _broken_by_attempts(
+        self, client: Client, name: str, sent: Sent, attempts: list, answered: float | None
+    ) -> list[str]:
         broken = []
-        if sent.group == "once" and len(attempts) > 1 + self.missed[name]:
-            broken.append(f"2: {name} ran {len(attempts)} times, {self.missed[name]} of them refused")
-        for came, limit in attempts:
-            if limit > sent.at + sent.wait - came + DEADLINE_SLACK + MACHINE_SLACK:
-                broken.append(f"1: {name} was told {limit:.3f} s with {sent.at + sent.wait - came:.3f} s left")
-            if client.left_at is not None and came > client.left_at + CANCEL_SLACK + MACHINE_SLACK:
-                broken.append(f"1: {name} began {came - client.left_at:.3f} s after its client left")
-            if answered is not None and came > answered + MACHINE_SLACK:
-                broken.append(f"1: {name} began {came - answered:.3f} s after its answer")
+        if sent.group == "once" and len(attempts) > 1 + self.refusals[name]:
+            broken.append(f"2: {name} ran {len(attempts)} times, {self.refusals[name]} of them refused")
+        for received_at, limit in attempts:
+            if limit > sent.at + sent.wait - received_at + DEADLINE_ALLOWANCE + MACHINE_ALLOWANCE:
+                broken.append(f"1: {name} was told {limit:.3f} s with {sent.at + sent.wait - received_at:.3f} s left")
+            if client.left_at is not None and received_at > client.left_at + CANCEL_ALLOWANCE + MACHINE_ALLOWANCE:
+                broken.append(f"1: {name} began {received_at - client.left_at:.3f} s after its client left")
+            if answered is not None and received_at > answered + MACHINE_ALLOWANCE:
+                broken.append(f"1: {name} began {received_at - answered:.3f} s after its answer")
         return broken
 
 
@@ -235,7 +243,7 @@
 
 
 async def idle_connections_close(world: TroubledWorld) -> None:
-    """An invoker closes all its connections, again and again."""
+    """An invoker repeatedly closes all its connections."""
     one = world.chance.choice(world.invokers)
     for _ in range(5):
         for writer in one.writers:
@@ -244,7 +252,7 @@
 
 
 async def idle_connections_reset(world: TroubledWorld) -> None:
-    """An invoker resets all its connections, again and again."""
+    """An invoker repeatedly resets all its connections."""
     one = world.chance.choice(world.invokers)
     for _ in range(5):
         for writer in one.writers:
@@ -252,8 +260,8 @@
         await asyncio.sleep(0.12)
 
 
-async def connections_are_forgotten(world: TroubledWorld) -> None:
-    """What is sent on an invoker's connections of before reaches nobody, and nothing tells so."""
+async def connections_are_not_read(world: TroubledWorld) -> None:
+    """An invoker no longer reads from its open connections, without closing them."""
     one = world.chance.choice(world.invokers)
     for writer in one.writers:
         writer.transport.pause_reading()
@@ -261,7 +269,7 @@
 
 
 async def all_refuse(world: TroubledWorld) -> None:
-    """Attempts and their retries fail at once, everywhere."""
+    """All invokers refuse attempts and their retries at once."""
     world.refusing = set(range(4))
     await asyncio.sleep(0.4)
     world.refusing = set()
@@ -275,11 +283,11 @@
 
 
 async def one_drains(world: TroubledWorld) -> None:
-    """The busiest drains, and is gone a while later."""
+    """The busiest invoker drains, and is removed a while later."""
     place = max(range(4), key=lambda place: len(world.invokers[place].runs()))
     name, port = f"s-{place}", world.invokers[place].port
     world.channel.change((name, port, "draining"))
-    # Counted from when the controller can have heard of it.
+    # The drain counts from when the controller has received it.
     while world.scene.node.server.roster.last < world.channel.last:
         await asyncio.sleep(0.01)
     world.draining.setdefault(place, time.monotonic())
@@ -287,8 +295,8 @@
     world.channel.change((name, port, "removed"))
 
 
-async def list_is_told_whole_again(world: TroubledWorld) -> None:
-    """The same list, whole, five times in a row."""
+async def complete_list_is_repeated(world: TroubledWorld) -> None:
+    """The same complete list is sent five times in a row."""
     for _ in range(5):
         hosts = [
             (f"s-{n}", one.port, "draining" if n in world.draining else "up") for n, one in enumerate(world.invokers)
@@ -298,13 +306,13 @@
 
 
 async def discovery_is_down(world: TroubledWorld) -> None:
-    await world.channel.go_away()
+    await world.channel.shut_down()
     await asyncio.sleep(1.0)
-    await world.channel.come_back()
+    await world.channel.restart()
 
 
 async def discovery_is_slow(world: TroubledWorld) -> None:
-    """An event comes in pieces over half a second."""
+    """An event arrives in pieces over half a second."""
     world.channel.last += 1
     data = event(world.channel.last)
     world.channel.events.append((world.channel.last, data))
@@ -313,20 +321,20 @@
         await asyncio.sleep(0.05)
 
 
-async def discovery_is_crowded(world: TroubledWorld) -> None:
-    """New watches hear nothing for a while; those that stand are cut."""
+async def discovery_accepts_no_watches(world: TroubledWorld) -> None:
+    """Open watches are reset, and new ones receive nothing for a while."""
     world.channel.answers = False
     for writer in world.channel.writers:
         writer.transport.abort()
     await asyncio.sleep(1.0)
     world.channel.answers = True
     for writer in world.channel.writers:
-        if writer not in world.channel.over:
+        if writer not in world.channel.closed_writers:
             world.channel.begin(writer)
 
 
 async def five_configurations(world: TroubledWorld) -> None:
-    """Four that can be used, then one that is torn."""
+    """Four valid configurations, then a truncated one."""
     for _ in range(4):
         world.write_configuration(world.channel.port)
         world.scene.node.reread()
@@ -335,22 +343,22 @@
     world.scene.node.reread()
 
 
-async def little_time(world: TroubledWorld) -> None:
-    """Half of the requests have 1 to 50 ms left, and invokers drop them without a word."""
-    world.shortest = 1.0
+async def short_deadlines(world: TroubledWorld) -> None:
+    """Half of the requests have 1 to 50 ms left, and invokers drop them without an answer."""
+    world.min_wait_ms = 1.0
     await asyncio.sleep(0.8)
-    world.shortest = 1_200.0
+    world.min_wait_ms = 1_200.0
 
 
-async def quiet(world: TroubledWorld) -> None:
-    """Nobody asks for a while."""
-    world.quiet = True
+async def no_requests(world: TroubledWorld) -> None:
+    """Clients send no requests for a while."""
+    world.paused = True
     await asyncio.sleep(0.7)
-    world.quiet = False
+    world.paused = False
 
 
-async def noise_of_a_client(world: TroubledWorld) -> None:
-    """Another client sends what is no frame, and one a request cut in half."""
+async def invalid_client_input(world: TroubledWorld) -> None:
+    """Other clients send bytes that are no frame, a truncated request, and a frame of an unknown type."""
     for data in (b"\xff" * 64, request_frame(1)[:40], frame(99, 1, b"x")):
         client = RawClient(world.scene.port)
         client.send(data)
@@ -358,8 +366,8 @@
         client.close(reset=True)
 
 
-async def told_to_end_while_all_hang(world: TroubledWorld) -> None:
-    """SIGTERM's work, with invokers that answer nothing all through."""
+async def stop_while_all_hang(world: TroubledWorld) -> None:
+    """The shutdown that SIGTERM starts, while no invoker answers."""
     world.silent = set(range(4))
     await asyncio.sleep(0.2)
     world.stopping = asyncio.ensure_future(world.scene.node.stop())
@@ -368,17 +376,17 @@
 TROUBLES = [
     idle_connections_close,
     idle_connections_reset,
-    connections_are_forgotten,
+    connections_are_not_read,
     all_refuse,
     one_hangs,
     one_drains,
-    list_is_told_whole_again,
+    complete_list_is_repeated,
     discovery_is_down,
     discovery_is_slow,
-    discovery_is_crowded,
+    discovery_accepts_no_watches,
     five_configurations,
-    little_time,
-    quiet,
-    noise_of_a_client,
-    told_to_end_while_all_hang,
+    short_deadlines,
+    no_requests,
+    invalid_client_input,
+    stop_while_all_hang,
 ]
