--- a/benchmarks/learning.py
+++ b/benchmarks/learning.py
@@ -11,8 +11,8 @@
 import time
 import tracemalloc
 
-from sprucespool.learning import Claim, Knowledge, Newcomer, Row, decode, encode
-from sprucespool.learning.newcomer import Teller
+from sprucespool.learning import Claim, ClaimStore, JoiningController, Row, decode, encode
+from sprucespool.learning.joining import PageBuilder
 
 KEEP, MODELS, INVOKERS = 10_000.0, 10_000, 500
 
@@ -86,9 +86,9 @@
         )
         for n in range(MODELS)
     ]
-    teller = Teller()
+    teller = PageBuilder()
     made = timed(
-        lambda: teller.made(0.0, [(r.invoker, r.boot, r.model, 1, 2, r.age, True) for r in rows], lambda *_: None)
+        lambda: teller.rebuild(0.0, [(r.invoker, r.boot, r.model, 1, 2, r.age, True) for r in rows], lambda *_: None)
     )
     page, _ = teller.page(10.0, 0, 200)
     data = encode(page)
@@ -103,15 +103,15 @@
         "page_decode_ms": round(timed(lambda: [decode(data) for _ in range(100)]) / 100, 3),
     }
     tracemalloc.start()
-    newcomer = Newcomer(["s"], KEEP)
-    newcomer.named(0.0, {(row.invoker, row.boot) for row in rows})
+    newcomer = JoiningController(["s"], KEEP)
+    newcomer.roster_changed(0.0, {(row.invoker, row.boot) for row in rows})
     newcomer.start(0.0)
     found["take_in_ms"] = round(
-        timed(lambda: [newcomer.page(1.0, "s", rows[n : n + 200], True) for n in range(0, MODELS, 200)]), 1
+        timed(lambda: [newcomer.page_received(1.0, "s", rows[n : n + 200], True) for n in range(0, MODELS, 200)]), 1
     )
     found["newcomer_mb"] = round(tracemalloc.get_traced_memory()[0] / 2**20, 1)
     tracemalloc.stop()
-    found["buckets"], found["dict_and_sort"] = store(lambda: Knowledge(KEEP)), store(lambda: Plain(KEEP))
+    found["buckets"], found["dict_and_sort"] = store(lambda: ClaimStore(KEEP)), store(lambda: Plain(KEEP))
     print(json.dumps(found, indent=1))
 
 
--- a/sprucespool/daemon/door.py
+++ b/sprucespool/daemon/door.py
@@ -28,7 +28,7 @@
 from sprucespool.wire import inference_pb2 as oip
 from sprucespool.wire import names, outcomes
 from sprucespool.wire import platform_pb2 as platform
-from sprucespool.wire.peek import Garbled, Glance, glance, wrap_stream_result
+from sprucespool.wire.peek import MalformedRequest, RequestFields, peek_request, wrap_stream_result
 
 LOOK_EVERY = 1.0
 
@@ -40,7 +40,7 @@
     id: str
     call: ServerCall
     request: bytes
-    told: Glance
+    told: RequestFields
     streamed: bool
     path: str
     since: float
@@ -215,15 +215,15 @@
         bounds, wait = self.plan.bounds, self.plan.answers.longest_retry_after
         if len(self.clients) >= bounds.calls or self.held + len(data) > bounds.held:
             self.turned_away += 1
-            return call.finish(outcomes.SHED, "too much is held here", outcomes.pushback(wait))
+            return call.finish(outcomes.SHED, "too much is held here", outcomes.pushback_metadata(wait))
         if self.turn.lag > bounds.lag:
             # Against a loop that falls behind: what it takes in now it would answer when nobody waits any more.
             self.turned_away += 1
-            return call.finish(outcomes.SHED, "the controller is behind", outcomes.pushback(wait))
+            return call.finish(outcomes.SHED, "the controller is behind", outcomes.pushback_metadata(wait))
         try:
-            told = glance(data)
+            told = peek_request(data)
             given = self._call_of(call, told, streamed)
-        except Garbled as problem:
+        except MalformedRequest as problem:
             return call.finish(outcomes.MALFORMED, f"no ModelInferRequest: {problem}")
         except ValueError as problem:
             return call.finish(outcomes.MALFORMED, str(problem))
@@ -246,7 +246,7 @@
         call.on_gone = lambda: self._client_gone(client)
         self.tell(given)
 
-    def _call_of(self, call: ServerCall, told: Glance, streamed: bool) -> ms.Call:
+    def _call_of(self, call: ServerCall, told: RequestFields, streamed: bool) -> ms.Call:
         """Raises ValueError with what was expected."""
         if not told.model:
             raise ValueError("expected model_name")
@@ -369,7 +369,7 @@
             outcome = outcomes.of_reset(event.never_ran, out.count)
         else:
             outcome = it.Outcome.UNCONNECTED if isinstance(event, Unconnected) else it.Outcome.RESET
-        found = outcomes.found(trailers)
+        found = outcomes.read_found(trailers)
         self.ended.append(number)
         if self.debugging and outcome is not it.Outcome.RETURNED:
             self.log.debug("forward", call=out.client.id, invoker=out.invoker, end=outcome.value, told=str(event)[:200])
@@ -384,9 +384,9 @@
                 number,
                 outcome.value,
                 found.value,
-                outcomes.whole(trailers, names.LOAD_FAILED) == 1,
-                outcomes.whole(trailers, names.SAME_MODEL),
-                outcomes.report(trailers),
+                outcomes.read_int(trailers, names.LOAD_FAILED) == 1,
+                outcomes.read_int(trailers, names.SAME_MODEL),
+                outcomes.read_report(trailers),
             )
         )
 
@@ -456,7 +456,9 @@
     def _shed(self, effect: ms.AnswerShed):
         client = self.clients.get(effect.call)
         if client is not None:
-            client.call.finish(outcomes.SHED, "shed: no capacity in time", outcomes.pushback(effect.retry_after))
+            client.call.finish(
+                outcomes.SHED, "shed: no capacity in time", outcomes.pushback_metadata(effect.retry_after)
+            )
             self._done(client, "shed")
 
     def _failed(self, effect: ms.AnswerFailed):
@@ -500,7 +502,7 @@
 
     def _order(self, effect: ms.SendOrder):
         def ended(outcome: it.Outcome, trailers: Metadata):
-            standing = outcomes.whole(trailers, names.STANDING)
+            standing = outcomes.read_int(trailers, names.STANDING)
             stands = effect.copies if outcome is it.Outcome.RETURNED else 0
             self.tell(ms.OrderEnded(effect.order, outcome.value, stands if standing is None else standing))
 
@@ -521,7 +523,9 @@
             names.SERVER_LIVE,
             b"",
             effect.time_out,
-            lambda outcome, trailers: self.tell(ms.ProbeEnded(effect.probe, outcome.value, outcomes.report(trailers))),
+            lambda outcome, trailers: self.tell(
+                ms.ProbeEnded(effect.probe, outcome.value, outcomes.read_report(trailers))
+            ),
         )
 
     def ask_ready(self, invoker: str) -> None:
--- a/sprucespool/daemon/fleet.py
+++ b/sprucespool/daemon/fleet.py
@@ -341,4 +341,8 @@
 
 def _process(trailers: Metadata) -> tuple[str, bool, float | None]:
     """What an invoker tells of its process: name, whether it drains, how long it runs."""
-    return trailers.get(names.BOOT, ""), trailers.get(names.DRAINING, "") == "1", outcomes.figure(trailers, names.AGE)
+    return (
+        trailers.get(names.BOOT, ""),
+        trailers.get(names.DRAINING, "") == "1",
+        outcomes.read_float(trailers, names.AGE),
+    )
--- a/sprucespool/daemon/learning.py
+++ b/sprucespool/daemon/learning.py
@@ -14,8 +14,17 @@
 from sprucespool.gateway import messages as ms
 from sprucespool.grpc.events import Answered, Message
 from sprucespool.grpc.status import Limits, Metadata, Status
-from sprucespool.learning import Ask, CodecError, Newcomer, NewcomerLimits, Tell, Teller, decode, encode
-from sprucespool.learning.codec import MOST_BYTES
+from sprucespool.learning import (
+    CodecError,
+    FetchPage,
+    JoiningController,
+    JoiningLimits,
+    PageBuilder,
+    ReportClaim,
+    decode,
+    encode,
+)
+from sprucespool.learning.codec import MAX_BYTES
 from sprucespool.settings.controller import Learning, address
 from sprucespool.transport.clock import AnchoredClock
 from sprucespool.transport.listener import Method, ServerCall, unary
@@ -48,15 +57,15 @@
         self.plan, self.tell, self.log, self.about = plan, tell, log, about
         self.wall = wall or AnchoredClock().unix
         self.loop = asyncio.get_running_loop()
-        self.newcomer = Newcomer(
-            [source.address for source in plan.sources], keep_alive, NewcomerLimits(within=plan.within)
+        self.newcomer = JoiningController(
+            [source.address for source in plan.sources], keep_alive, JoiningLimits(total_timeout=plan.within)
         )
-        self.teller = Teller()
+        self.teller = PageBuilder()
         self.pools: dict[str, Pool] = {}
         self.seed = seed
         self.token = 0
         self.waiting: list[tuple[ServerCall, int, int]] = []
-        self.file = SnapshotFile(plan.snapshot, log, MOST_BYTES) if plan.snapshot else None
+        self.file = SnapshotFile(plan.snapshot, log, MAX_BYTES) if plan.snapshot else None
         self.snapshot_due = self.loop.time() + plan.snapshot_every / 1000.0
         self.writing = False
         self.timer: asyncio.TimerHandle | None = None
@@ -88,20 +97,20 @@
 
     def _look(self):
         self.timer = self.loop.call_later(LOOK_EVERY, self._look)
-        self._do(self.newcomer.look(self.now()))
+        self._do(self.newcomer.check(self.now()))
         if self.file is not None and self.loop.time() >= self.snapshot_due and not self.writing:
             self.snapshot_due = self.loop.time() + self.plan.snapshot_every / 1000.0
             self.writing = True
             self._ask_module()
 
-    def _do(self, steps: Iterable[Ask | Tell]):
+    def _do(self, steps: Iterable[FetchPage | ReportClaim]):
         claims = []
         for step in steps:
-            if isinstance(step, Tell):
+            if isinstance(step, ReportClaim):
                 one = step.claim
-                claims.append(ms.Claim(one.invoker, one.boot, one.model, one.copies, one.lanes, step.life))
-                self.told += step.life > 0
-                self.taken_back += step.life <= 0
+                claims.append(ms.Claim(one.invoker, one.boot, one.model, one.copies, one.lanes, step.lifetime))
+                self.told += step.lifetime > 0
+                self.taken_back += step.lifetime <= 0
             else:
                 self._ask(step)
         if claims:
@@ -116,18 +125,18 @@
             named = {invoker for invoker, _ in serving}
             gone += [invoker for invoker in self.newcomer.boots if invoker not in named]
         # After the module heard of it: it must know an invoker before anything is told of it.
-        self.loop.call_soon(lambda: self._do(self.newcomer.named(self.now(), serving, gone)))
+        self.loop.call_soon(lambda: self._do(self.newcomer.roster_changed(self.now(), serving, gone)))
 
     def ended(self, invoker: str, model: str, outcome: it.Outcome, found: it.Found) -> None:
-        if not self.newcomer.untried:
+        if not self.newcomer.untested:
             return
         how = found.value if outcome is it.Outcome.RETURNED else "miss" if outcome is it.Outcome.MISS else None
-        self._do(self.newcomer.ended(self.now(), invoker, model, how))
+        self._do(self.newcomer.forward_ended(self.now(), invoker, model, how))
 
     def member(self, address: str) -> None:
         """The group told of a member that is there: it may be asked."""
         if self.plan.members:
-            self._do(self.newcomer.add(self.now(), address))
+            self._do(self.newcomer.add_source(self.now(), address))
 
     # Asking
 
@@ -138,14 +147,14 @@
             self.pools[where] = Pool(
                 host,
                 port,
-                Limits(message=MOST_BYTES + 4096),
+                Limits(message=MAX_BYTES + 4096),
                 PoolLimits(connections=1, connect_timeout=500.0, source=self.source),
                 self.seed,
             )
         return self.pools[where]
 
-    def _ask(self, step: Ask):
-        request = platform.PageRequest(cursor=step.cursor, most=step.most).SerializeToString()
+    def _ask(self, step: FetchPage):
+        request = platform.PageRequest(cursor=step.cursor, most=step.max_rows).SerializeToString()
         got: list[bytes] = []
 
         def heard(event: Heard):
@@ -155,23 +164,23 @@
             elif isinstance(event, ENDS):
                 self._asked(step, event, got)
 
-        limit = self.newcomer.limits.page_within
+        limit = self.newcomer.limits.page_timeout
         call = self._pool(step.source).call(names.LEARNING_PAGE, self.about, limit, request, heard)
         # A source that accepts and never answers.
         self.loop.call_later(limit / 1000.0 + 0.05, call.cancel)
 
-    def _asked(self, step: Ask, event: Any, got: list[bytes]):
+    def _asked(self, step: FetchPage, event: Any, got: list[bytes]):
         why = ""
         if isinstance(event, Answered) and event.status is Status.OK and len(got) == 1:
             try:
                 reply = platform.PageReply.FromString(got[0])
                 rows, _ = decode(reply.page)
-                return self._do(self.newcomer.page(self.now(), step.source, rows, reply.more))
+                return self._do(self.newcomer.page_received(self.now(), step.source, rows, reply.more))
             except (DecodeError, CodecError) as problem:
                 why = str(problem)
         why = why or str(event)[:200]
         self.log.warning("source lost", source=step.source, why=why)
-        self._do(self.newcomer.lost(self.now(), step.source, why))
+        self._do(self.newcomer.source_failed(self.now(), step.source, why))
 
     # Answering
 
@@ -198,10 +207,10 @@
     def given(self, effect: ms.BeliefsGiven) -> None:
         """The module's beliefs, asked for a page or for a snapshot."""
         now = self.now()
-        self.teller.made(
+        self.teller.rebuild(
             now,
             ((one.invoker, one.boot, one.model, one.copies, one.lanes, one.age, one.own) for one in effect.known),
-            self.newcomer.hops_of,
+            self.newcomer.untested_claim,
         )
         if self.writing and self.file is not None:
             self.writing = False
--- a/sprucespool/grpc/__init__.py
+++ b/sprucespool/grpc/__init__.py
@@ -3,6 +3,6 @@
 from sprucespool.grpc.client import ClientLink
 from sprucespool.grpc.server import ServerLink
 from sprucespool.grpc.status import Limits, LinkError, Metadata, Status
-from sprucespool.grpc.streams import Ledger
+from sprucespool.grpc.streams import ReceiveBudget
 
-__all__ = ["ClientLink", "Ledger", "Limits", "LinkError", "Metadata", "ServerLink", "Status"]
+__all__ = ["ClientLink", "Limits", "LinkError", "Metadata", "ReceiveBudget", "ServerLink", "Status"]
--- a/sprucespool/grpc/client.py
+++ b/sprucespool/grpc/client.py
@@ -14,13 +14,13 @@
     write_metadata,
     write_timeout,
 )
-from sprucespool.grpc.streams import Ledger, Stream
+from sprucespool.grpc.streams import ReceiveBudget, Stream
 
 
 class ClientLink(Link):
     """Begins calls and hears their answers."""
 
-    def __init__(self, limits: Limits, ledger: Ledger | None = None):
+    def __init__(self, limits: Limits, ledger: ReceiveBudget | None = None):
         super().__init__(limits, False, ledger)
 
     @property
--- a/sprucespool/grpc/events.py
+++ b/sprucespool/grpc/events.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(slots=True)
-class Began:
+class CallStarted:
     """Server: a call; `timeout` in ms or None."""
 
     stream: int
@@ -62,7 +62,7 @@
 
 
 @dataclass(slots=True)
-class Ponged:
+class PingAcknowledged:
     """A ping of this end was answered."""
 
 
@@ -73,4 +73,4 @@
     stream: int
 
 
-Event = Began | Message | HalfClosed | Answered | Reset | GoingAway | Ponged | Drained
+Event = CallStarted | Message | HalfClosed | Answered | Reset | GoingAway | PingAcknowledged | Drained
--- a/sprucespool/grpc/link.py
+++ b/sprucespool/grpc/link.py
@@ -17,9 +17,9 @@
 import h2.settings
 from hyperframe.frame import GoAwayFrame, SettingsFrame
 
-from sprucespool.grpc.events import Drained, Event, GoingAway, Message, Ponged, Reset
+from sprucespool.grpc.events import Drained, Event, GoingAway, Message, PingAcknowledged, Reset
 from sprucespool.grpc.status import Limits, LinkError
-from sprucespool.grpc.streams import Flow, Ledger, RateBucket, Stream
+from sprucespool.grpc.streams import Flow, RateBucket, ReceiveBudget, Stream
 
 FRAME_HEAD, LARGEST_FRAME = 9, 16384
 # Half-received bytes that any connection may hold, however crowded the server.
@@ -36,8 +36,8 @@
 
     low_mark = 16384
 
-    def __init__(self, limits: Limits, server: bool, ledger: Ledger | None = None):
-        self.limits, self.server, self.ledger = limits, server, ledger or Ledger(4 * limits.unsent)
+    def __init__(self, limits: Limits, server: bool, ledger: ReceiveBudget | None = None):
+        self.limits, self.server, self.ledger = limits, server, ledger or ReceiveBudget(4 * limits.unsent)
         self.h2 = h2.connection.H2Connection(
             h2.config.H2Configuration(
                 client_side=not server,
@@ -234,7 +234,7 @@
             self._die(Codes.ENHANCE_YOUR_CALM, "too many streams opened and reset")
 
     def _on_pong(self, event, events: list, now: float):
-        events.append(Ponged())
+        events.append(PingAcknowledged())
 
     def _drop(self, number: int):
         stream = self.streams.pop(number, None)
@@ -361,7 +361,7 @@
         last = not flow.waiting and flow.end and flow.trailers is None
         self.h2.send_data(number, b"".join(parts), end_stream=last)
 
-    def mark(self, number: int):
+    def notify_when_drained(self, number: int):
         """Ask for `Drained` once what waits on the stream has mostly left."""
         if number in self.streams:
             self.streams[number].flow.marked = True
--- a/sprucespool/grpc/server.py
+++ b/sprucespool/grpc/server.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from sprucespool.grpc.events import Began, HalfClosed, Reset
+from sprucespool.grpc.events import CallStarted, HalfClosed, Reset
 from sprucespool.grpc.link import Codes, Link
 from sprucespool.grpc.status import (
     Limits,
@@ -13,13 +13,13 @@
     write_message,
     write_metadata,
 )
-from sprucespool.grpc.streams import Ledger, Stream
+from sprucespool.grpc.streams import ReceiveBudget, Stream
 
 
 class ServerLink(Link):
     """Takes calls, sends messages and one status for each."""
 
-    def __init__(self, limits: Limits, ledger: Ledger | None = None):
+    def __init__(self, limits: Limits, ledger: ReceiveBudget | None = None):
         super().__init__(limits, True, ledger)
 
     def _on_request(self, event, events: list, now: float):
@@ -50,7 +50,7 @@
                 timeout = read_timeout(found["grpc-timeout"])
             except ValueError as problem:
                 return self.refuse(number, Status.INVALID_ARGUMENT, str(problem))
-        events.append(Began(number, found[":path"], found, timeout))
+        events.append(CallStarted(number, found[":path"], found, timeout))
 
     def _http(self, number: int, status: str):
         stream = self.streams[number]
--- a/sprucespool/grpc/streams.py
+++ b/sprucespool/grpc/streams.py
@@ -38,7 +38,7 @@
     headers: Metadata | None = None
 
 
-class Ledger:
+class ReceiveBudget:
     """Bytes of half-received messages over many connections: each is bounded, thousands together are not."""
 
     __slots__ = ("used", "most")
--- a/sprucespool/learning/__init__.py
+++ b/sprucespool/learning/__init__.py
@@ -5,22 +5,22 @@
 """
 
 from sprucespool.learning.codec import CodecError, decode, encode
-from sprucespool.learning.knowledge import Claim, Knowledge, Row
-from sprucespool.learning.newcomer import Ask, Newcomer, NewcomerLimits, Tell, Teller
-from sprucespool.learning.trust import SourceRecord, life_of
+from sprucespool.learning.joining import FetchPage, JoiningController, JoiningLimits, PageBuilder, ReportClaim
+from sprucespool.learning.knowledge import Claim, ClaimStore, Row
+from sprucespool.learning.trust import SourceRecord, claim_lifetime
 
 __all__ = [
-    "Ask",
     "Claim",
+    "ClaimStore",
     "CodecError",
-    "Knowledge",
-    "Newcomer",
-    "NewcomerLimits",
+    "FetchPage",
+    "JoiningController",
+    "JoiningLimits",
+    "PageBuilder",
+    "ReportClaim",
     "Row",
     "SourceRecord",
-    "Tell",
-    "Teller",
+    "claim_lifetime",
     "decode",
     "encode",
-    "life_of",
 ]
--- a/sprucespool/learning/codec.py
+++ b/sprucespool/learning/codec.py
@@ -18,7 +18,7 @@
 
 MAGIC, VERSION, LEAST_READER = b"SPKN", 1, 1
 HEAD = struct.Struct(">4sBBII")
-MOST_BYTES, MOST_ROWS, LONGEST_NAME, LONGEST_AGE = 4 * 2**20, 50_000, 512, 3.2e10
+MAX_BYTES, MOST_ROWS, LONGEST_NAME, LONGEST_AGE = 4 * 2**20, 50_000, 512, 3.2e10
 
 
 class CodecError(ValueError):
@@ -39,8 +39,8 @@
     if len(rows) > MOST_ROWS:
         raise CodecError(f"{len(rows)} rows, {MOST_ROWS} are allowed")
     body = _ENCODER.encode(_Body(written_at, rows))
-    if len(body) > MOST_BYTES:
-        raise CodecError(f"{len(body)} bytes, {MOST_BYTES} are allowed")
+    if len(body) > MAX_BYTES:
+        raise CodecError(f"{len(body)} bytes, {MAX_BYTES} are allowed")
     return HEAD.pack(MAGIC, VERSION, LEAST_READER, len(body), zlib.crc32(body)) + body
 
 
@@ -53,8 +53,8 @@
         raise CodecError(f"expected {MAGIC!r} at the begin, got {magic!r}")
     if least > VERSION:
         raise CodecError(f"written by version {version} for readers from {least} on, this one is {VERSION}")
-    if length > MOST_BYTES or len(data) != HEAD.size + length:
-        raise CodecError(f"expected {length} bytes of body (at most {MOST_BYTES}), got {len(data) - HEAD.size}")
+    if length > MAX_BYTES or len(data) != HEAD.size + length:
+        raise CodecError(f"expected {length} bytes of body (at most {MAX_BYTES}), got {len(data) - HEAD.size}")
     body = data[HEAD.size :]
     if zlib.crc32(body) != crc:
         raise CodecError("the checksum does not fit the body")
--- a/sprucespool/learning/knowledge.py
+++ b/sprucespool/learning/knowledge.py
@@ -55,19 +55,19 @@
         return self.seen_at, -self.hops, self.source, self.copies, self.lanes
 
 
-def received(row: Row, asked_at: float, source: str) -> Claim:
+def claim_from_row(row: Row, asked_at: float, source: str) -> Claim:
     return Claim(
         row.invoker, row.boot, row.model, row.copies, row.lanes, asked_at - max(0.0, row.age), row.hops + 1, source
     )
 
 
-def told_on(claim: Claim, now: float) -> Row:
+def row_from_claim(claim: Claim, now: float) -> Row:
     return Row(
         claim.invoker, claim.boot, claim.model, claim.copies, claim.lanes, max(0.0, now - claim.seen_at), claim.hops
     )
 
 
-class Knowledge:
+class ClaimStore:
     """Claims by key within bounds, forgotten when older than `keep` ms.
 
     Expiry goes by buckets of a sixteenth of that time: a claim is looked at when its bucket ends, instead of all being
--- a/sprucespool/learning/trust.py
+++ b/sprucespool/learning/trust.py
@@ -29,6 +29,6 @@
         return self.trust >= LEAST_TRUST
 
 
-def life_of(age: float, hops: int, keep_alive: float, trust: float) -> float:
+def claim_lifetime(age: float, hops: int, keep_alive: float, trust: float) -> float:
     """For how many ms a claim may be used; 0: not at all. `age` and `keep_alive` in ms."""
     return max(0.0, keep_alive - age) * BY_HOPS.get(hops, 0.0) * (trust if trust >= LEAST_TRUST else 0.0)
--- a/sprucespool/standin/clients.py
+++ b/sprucespool/standin/clients.py
@@ -147,7 +147,7 @@
         now, group = now_ms(), self.groups[one.plan.group]
         status, never, wait = None, False, self.day.clients.wait
         if isinstance(event, Answered):
-            pushback = outcomes.whole(event.trailers, names.PUSHBACK)
+            pushback = outcomes.read_int(event.trailers, names.PUSHBACK)
             self.notes.write(seen.Answer(now, one.id, int(event.status), event.message, pushback))
             status = event.status
             if status is Status.RESOURCE_EXHAUSTED:
--- a/sprucespool/standin/invoker.py
+++ b/sprucespool/standin/invoker.py
@@ -41,7 +41,7 @@
 from sprucespool.wire import inference_pb2 as oip
 from sprucespool.wire import names, outcomes
 from sprucespool.wire import platform_pb2 as platform
-from sprucespool.wire.peek import Garbled, glance, wrap_stream_result
+from sprucespool.wire.peek import MalformedRequest, peek_request, wrap_stream_result
 
 
 class Fault(msgspec.Struct):
@@ -215,8 +215,8 @@
 
     def _infer(self, call: ServerCall, data: bytes):
         try:
-            told = glance(data)
-        except Garbled as problem:
+            told = peek_request(data)
+        except MalformedRequest as problem:
             self.bad_calls += 1
             return call.finish(Status.INVALID_ARGUMENT, str(problem))
         now = now_ms()
@@ -234,7 +234,14 @@
         )
         self.note(
             seen.Came(
-                now, self.name, self.plan.boot, held.n, told.id, outcomes.controller(call.metadata), work, told.model
+                now,
+                self.name,
+                self.plan.boot,
+                held.n,
+                told.id,
+                outcomes.read_controller(call.metadata),
+                work,
+                told.model,
             )
         )
         key = told.parameters.get("dedup_key", "")
@@ -339,7 +346,7 @@
         copies = asked.parameters[names.COPIES].int64_param if names.COPIES in asked.parameters else 1
         self.note(
             seen.Ordered(
-                now_ms(), self.name, self.plan.boot, outcomes.controller(call.metadata), asked.model_name, copies
+                now_ms(), self.name, self.plan.boot, outcomes.read_controller(call.metadata), asked.model_name, copies
             )
         )
         if self._on("hang"):
--- a/sprucespool/standin/platform.py
+++ b/sprucespool/standin/platform.py
@@ -104,7 +104,7 @@
     def _watch(self, call: ServerCall, data: bytes):
         if self.down:
             return call.finish(Status.UNAVAILABLE, "the roster is down")
-        self.watchers[call] = outcomes.controller(call.metadata)
+        self.watchers[call] = outcomes.read_controller(call.metadata)
         call.on_gone = lambda: self._gone(call)
         self._send(call, platform.RosterNews.REPLACE, list(self.listed.values()))
 
@@ -114,7 +114,7 @@
     def _fetch(self, call: ServerCall, data: bytes):
         if self.down:
             return call.finish(Status.UNAVAILABLE, "the roster is down")
-        self.watchers[call] = outcomes.controller(call.metadata)
+        self.watchers[call] = outcomes.read_controller(call.metadata)
         self._send(call, platform.RosterNews.REPLACE, list(self.listed.values()))
         del self.watchers[call]
         call.finish(Status.OK)
--- a/sprucespool/transport/listener.py
+++ b/sprucespool/transport/listener.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from sprucespool.grpc.events import Began, Drained, Event, HalfClosed, Message, Ponged, Reset
-from sprucespool.grpc.streams import Ledger
+from sprucespool.grpc.events import CallStarted, Drained, Event, HalfClosed, Message, PingAcknowledged, Reset
+from sprucespool.grpc.streams import ReceiveBudget
 from sprucespool.grpc.server import ServerLink
 from sprucespool.grpc.status import Limits, Metadata, Status
 from sprucespool.transport.acceptor import Acceptor
@@ -51,7 +51,7 @@
         "waited",
     )
 
-    def __init__(self, wire: Wire, began: Began, now: float, peer: str, waited: float):
+    def __init__(self, wire: Wire, began: CallStarted, now: float, peer: str, waited: float):
         # How long the call may have waited for its connection to be accepted, in ms.
         self.waited = waited
         self.wire, self.stream, self.path = wire, began.stream, began.path
@@ -81,7 +81,7 @@
             self.wire.flush_soon()
 
     def mark(self) -> None:
-        self.link.mark(self.stream)
+        self.link.notify_when_drained(self.stream)
 
     def consumed(self, size: int) -> None:
         if not self.wire.lost:
@@ -169,7 +169,7 @@
         waited = self.waited + wire.heard - wire.opened if self.waited else 0.0
         self.waited, self.heard_any = 0.0, True
         for event in events:
-            if isinstance(event, Began):
+            if isinstance(event, CallStarted):
                 call = ServerCall(wire, event, wire.heard, self.name, waited)
                 method = self.listener.methods.get(event.path)
                 if method is None:
@@ -179,7 +179,7 @@
                 else:
                     self.calls[event.stream] = call
                     method(call)
-            elif isinstance(event, Ponged):
+            elif isinstance(event, PingAcknowledged):
                 self.pinged = 0.0
             elif (found := self.calls.get(getattr(event, "stream", 0))) is not None:
                 self._tell(found, event)
@@ -243,7 +243,7 @@
     def __init__(self, methods: dict[str, Method], limits: Limits, server: Server):
         self.methods, self.limits, self.server = methods, limits, server
         self.loop = asyncio.get_running_loop()
-        self.ledger = Ledger(server.half_received)
+        self.ledger = ReceiveBudget(server.half_received)
         self.peers: dict[_Peer, None] = {}
         self.accepted = self.turned_away = 0
         self.ends: dict[str, int] = {}
--- a/sprucespool/transport/pool.py
+++ b/sprucespool/transport/pool.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from sprucespool.grpc.events import Answered, Drained, Event, GoingAway, Message, Ponged, Reset
+from sprucespool.grpc.events import Answered, Drained, Event, GoingAway, Message, PingAcknowledged, Reset
 from sprucespool.grpc.client import ClientLink
 from sprucespool.grpc.status import Limits, Metadata
 from sprucespool.transport.opener import Opener
@@ -134,7 +134,7 @@
         for event in events:
             if isinstance(event, GoingAway):
                 self.slot.room, self.slot.leaving = 0, True
-            elif isinstance(event, Ponged):
+            elif isinstance(event, PingAcknowledged):
                 self.slot.pinged = None
             elif (call := self.calls.get(event.stream)) is not None:
                 if isinstance(event, ENDS):
--- a/sprucespool/wire/outcomes.py
+++ b/sprucespool/wire/outcomes.py
@@ -28,17 +28,17 @@
     return it.Outcome.FULL if never_ran and not messages else it.Outcome.RESET
 
 
-def found(trailers: Metadata) -> it.Found:
+def read_found(trailers: Metadata) -> it.Found:
     return FOUND.get(trailers.get(names.FOUND, ""), it.Found.UNTOLD)
 
 
-def whole(trailers: Metadata, name: str) -> int | None:
+def read_int(trailers: Metadata, name: str) -> int | None:
     """A number an invoker told; None where it told none or nonsense."""
     text = trailers.get(name, "")
     return int(text) if text.isascii() and text.isdigit() and len(text) < 10 else None
 
 
-def figure(trailers: Metadata, name: str) -> float | None:
+def read_float(trailers: Metadata, name: str) -> float | None:
     """A figure of 0 or more that an invoker told; None where it told none or nonsense."""
     try:
         value = float(trailers.get(name, ""))
@@ -47,13 +47,13 @@
     return value if 0 <= value < 1e12 else None
 
 
-def controller(metadata: Metadata) -> int:
+def read_controller(metadata: Metadata) -> int:
     """The number that a controller gives with its calls; -1 where there is none."""
-    told = whole(metadata, names.CONTROLLER)
+    told = read_int(metadata, names.CONTROLLER)
     return -1 if told is None else told
 
 
-def report(trailers: Metadata) -> dict[str, float]:
+def read_report(trailers: Metadata) -> dict[str, float]:
     """`name=figure,...`; what is no figure is passed over."""
     figures = {}
     for part in trailers.get(names.REPORT, "").split(","):
@@ -67,7 +67,7 @@
     return figures
 
 
-def pushback(retry_after: float) -> Metadata:
+def pushback_metadata(retry_after: float) -> Metadata:
     return {names.PUSHBACK: str(max(0, round(retry_after)))}
 
 
--- a/sprucespool/wire/peek.py
+++ b/sprucespool/wire/peek.py
@@ -16,12 +16,12 @@
 Parameter = bool | int | float | str
 
 
-class Garbled(ValueError):
+class MalformedRequest(ValueError):
     """No such message; the text names the place."""
 
 
 @dataclass(slots=True)
-class Glance:
+class RequestFields:
     """What was read; `parameters` are those of the request, not of its tensors."""
 
     model: str = ""
@@ -43,7 +43,7 @@
         shift += 7
         if shift > 63:
             break
-    raise Garbled(f"expected a varint that ends at byte {at}")
+    raise MalformedRequest(f"expected a varint that ends at byte {at}")
 
 
 def walk(data: bytes, at: int, end: int) -> Iterator[tuple[int, int, int, int]]:
@@ -63,18 +63,18 @@
             yield number, kind, at, at + size
             at += size
         else:
-            raise Garbled(f"expected a field, got wire type {kind} before byte {at}")
+            raise MalformedRequest(f"expected a field, got wire type {kind} before byte {at}")
         if number == 0 or at > end:
-            raise Garbled(f"a field that is cut off or has no number before byte {min(at, end)}")
+            raise MalformedRequest(f"a field that is cut off or has no number before byte {min(at, end)}")
 
 
 def _text(data: bytes, begin: int, end: int) -> str:
     if end > len(data) or end - begin > LONGEST_NAME:
-        raise Garbled(f"a text of {end - begin} bytes at {begin}, {LONGEST_NAME} are allowed")
+        raise MalformedRequest(f"a text of {end - begin} bytes at {begin}, {LONGEST_NAME} are allowed")
     try:
         return data[begin:end].decode()
     except UnicodeDecodeError:
-        raise Garbled(f"expected UTF-8 at byte {begin}") from None
+        raise MalformedRequest(f"expected UTF-8 at byte {begin}") from None
 
 
 def _parameter(data: bytes, begin: int, end: int) -> tuple[str, Parameter | None]:
@@ -98,9 +98,9 @@
     return name, value
 
 
-def glance(data: bytes) -> Glance:
-    """Raises Garbled on what is no such message."""
-    found, seen = Glance(), 0
+def peek_request(data: bytes) -> RequestFields:
+    """Raises MalformedRequest on what is no such message."""
+    found, seen = RequestFields(), 0
     try:
         for number, kind, at, stop in walk(data, 0, len(data)):
             if kind != LENGTH:
@@ -114,12 +114,12 @@
             elif number == PARAMETERS:
                 seen += 1
                 if seen > MOST_PARAMETERS:
-                    raise Garbled(f"more than {MOST_PARAMETERS} parameters")
+                    raise MalformedRequest(f"more than {MOST_PARAMETERS} parameters")
                 name, value = _parameter(data, at, stop)
                 if value is not None:
                     found.parameters[name] = value
     except (IndexError, struct.error):
-        raise Garbled("a message that is cut off") from None
+        raise MalformedRequest("a message that is cut off") from None
     return found
 
 
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -11,21 +11,21 @@
 
 from sprucespool.grpc import Limits, Status
 from sprucespool.learning import (
-    Ask,
     Claim,
+    ClaimStore,
     CodecError,
-    Knowledge,
-    Newcomer,
-    NewcomerLimits,
+    FetchPage,
+    JoiningController,
+    JoiningLimits,
+    ReportClaim,
     Row,
     SourceRecord,
-    Tell,
+    claim_lifetime,
     decode,
     encode,
-    life_of,
 )
 from sprucespool.learning import codec as cd
-from sprucespool.learning.knowledge import received, told_on
+from sprucespool.learning.knowledge import claim_from_row, row_from_claim
 from sprucespool.transport.listener import Listener, Server, unary
 from sprucespool.wire import names
 from sprucespool.wire import platform_pb2 as platform
@@ -48,7 +48,7 @@
 
 
 def merged(*parts):
-    found = Knowledge(KEEP)
+    found = ClaimStore(KEEP)
     for part in parts:
         found.merge(part)
     return found.claims
@@ -66,7 +66,7 @@
 @FAST
 @given(st.lists(st.tuples(CLAIM, st.floats(0, 5e4)), max_size=60), st.integers(1, 12))
 def test_bounded_and_expired_knowledge_is_that_of_a_plain_dict_with_a_sort(steps, most):
-    found, plain, now = Knowledge(KEEP, most), {}, 0.0
+    found, plain, now = ClaimStore(KEEP, most), {}, 0.0
     for claim, ahead in steps:
         now += ahead / 20
         claim = Claim(
@@ -106,12 +106,12 @@
     for delay in delays:
         asked_at = other + true
         true += delay
-        row = told_on(claim, clock + true)
+        row = row_from_claim(claim, clock + true)
         true += delay
-        claim = received(row, asked_at, "x")
+        claim = claim_from_row(row, asked_at, "x")
         clock, other = other, clock
         assert claim.seen_at - clock <= seen + 1e-5, "a sign younger than it was"
-        assert life_of(clock + true - claim.seen_at, claim.hops, KEEP, 1.0) <= max(0.0, KEEP - true) + 1e-5
+        assert claim_lifetime(clock + true - claim.seen_at, claim.hops, KEEP, 1.0) <= max(0.0, KEEP - true) + 1e-5
     assert claim.hops == len(delays)
 
 
@@ -170,9 +170,11 @@
 
 
 def test_less_is_believed_of_what_is_older_came_further_or_from_whom_was_wrong():
-    assert life_of(0, 1, KEEP, 0.9) > life_of(4000, 1, KEEP, 0.9) > life_of(4000, 2, KEEP, 0.9) > 0
-    assert life_of(4000, 1, KEEP, 0.9) > life_of(4000, 1, KEEP, 0.5) > 0
-    assert life_of(KEEP, 1, KEEP, 1.0) == life_of(0, 3, KEEP, 1.0) == life_of(0, 1, KEEP, 0.39) == 0
+    assert claim_lifetime(0, 1, KEEP, 0.9) > claim_lifetime(4000, 1, KEEP, 0.9) > claim_lifetime(4000, 2, KEEP, 0.9) > 0
+    assert claim_lifetime(4000, 1, KEEP, 0.9) > claim_lifetime(4000, 1, KEEP, 0.5) > 0
+    assert (
+        claim_lifetime(KEEP, 1, KEEP, 1.0) == claim_lifetime(0, 3, KEEP, 1.0) == claim_lifetime(0, 1, KEEP, 0.39) == 0
+    )
     assert SourceRecord(0, 4).believed and not SourceRecord(0, 5).believed and SourceRecord(70, 30).believed
 
 
@@ -184,110 +186,112 @@
 
 
 def newcomer(*sources, boots=(("w0:1", "1"),), **over):
-    found = Newcomer(list(sources) or ["s"], KEEP, NewcomerLimits(**over))
-    found.named(0.0, boots)
+    found = JoiningController(list(sources) or ["s"], KEEP, JoiningLimits(**over))
+    found.roster_changed(0.0, boots)
     return found, found.start(0.0)
 
 
 def told(steps):
-    return [step for step in steps if isinstance(step, Tell) and step.life > 0]
+    return [step for step in steps if isinstance(step, ReportClaim) and step.lifetime > 0]
 
 
 def taken_back(steps):
-    return [step for step in steps if isinstance(step, Tell) and step.life <= 0]
+    return [step for step in steps if isinstance(step, ReportClaim) and step.lifetime <= 0]
 
 
 def test_pages_are_asked_one_after_the_other_from_a_few_sources_at_once():
-    found, steps = newcomer("a", "b", "c", "d", at_once=2, page=5)
-    assert steps == [Ask("a", 0, 5), Ask("b", 0, 5)]
-    steps = found.page(10.0, "a", rows(5), True)
-    assert Ask("a", 5, 5) in steps and len(told(steps)) == 5
-    assert [step for step in found.page(20.0, "a", rows(3), False) if isinstance(step, Ask)] == [Ask("c", 0, 5)]
-    assert found.lost(30.0, "b", "gone") == [Ask("d", 0, 5)]
+    found, steps = newcomer("a", "b", "c", "d", max_concurrent=2, page_rows=5)
+    assert steps == [FetchPage("a", 0, 5), FetchPage("b", 0, 5)]
+    steps = found.page_received(10.0, "a", rows(5), True)
+    assert FetchPage("a", 5, 5) in steps and len(told(steps)) == 5
+    assert [step for step in found.page_received(20.0, "a", rows(3), False) if isinstance(step, FetchPage)] == [
+        FetchPage("c", 0, 5)
+    ]
+    assert found.source_failed(30.0, "b", "gone") == [FetchPage("d", 0, 5)]
 
 
 def test_a_source_that_is_slow_or_dies_mid_page_is_given_up_and_what_it_told_stays():
-    found, _ = newcomer("a", "b", at_once=1, page=5, page_within=1000.0)
-    assert len(told(found.page(10.0, "a", rows(5), True))) == 5
-    assert found.look(900.0) == [] and found.look(1010.0) == [Ask("b", 0, 5)]
-    assert found.page(1020.0, "a", rows(9), True) == [], "late"
-    assert found.lost(1030.0, "b", "reset") == [] and found.sources["a"].why == "too slow"
-    assert len(found.untried["w0:1", "1"]) == 5
+    found, _ = newcomer("a", "b", max_concurrent=1, page_rows=5, page_timeout=1000.0)
+    assert len(told(found.page_received(10.0, "a", rows(5), True))) == 5
+    assert found.check(900.0) == [] and found.check(1010.0) == [FetchPage("b", 0, 5)]
+    assert found.page_received(1020.0, "a", rows(9), True) == [], "late"
+    assert found.source_failed(1030.0, "b", "reset") == [] and found.sources["a"].why == "too slow"
+    assert len(found.untested["w0:1", "1"]) == 5
 
 
 def test_nothing_is_asked_once_the_time_for_it_is_over():
-    found, _ = newcomer("a", within=500.0, page=5)
-    assert [s for s in found.page(600.0, "a", rows(5), True) if isinstance(s, Ask)] == []
+    found, _ = newcomer("a", total_timeout=500.0, page_rows=5)
+    assert [s for s in found.page_received(600.0, "a", rows(5), True) if isinstance(s, FetchPage)] == []
 
 
 def test_a_claim_of_a_process_that_is_no_more_is_never_passed_on():
     found, _ = newcomer(boots=(("w0:1", "2"),))
-    assert told(found.page(10.0, "s", rows(5, boot="1"), False)) == []
+    assert told(found.page_received(10.0, "s", rows(5, boot="1"), False)) == []
     found, _ = newcomer()
-    assert len(told(found.page(10.0, "s", rows(5), False))) == 5
-    found.named(50.0, [("w0:1", "2")])
-    assert not found.untried and found.ended(60.0, "w0:1", "m1", "began load") == []
+    assert len(told(found.page_received(10.0, "s", rows(5), False))) == 5
+    found.roster_changed(50.0, [("w0:1", "2")])
+    assert not found.untested and found.forward_ended(60.0, "w0:1", "m1", "began load") == []
 
 
 def test_a_deploy_while_it_learns_leaves_only_the_claims_of_processes_that_still_run():
-    found, _ = newcomer(boots=[(f"w{n}:1", "1") for n in range(4)], page=1000)
+    found, _ = newcomer(boots=[(f"w{n}:1", "1") for n in range(4)], page_rows=1000)
     passed = []
     for n in range(4):
         # One process after the other is replaced between pages; the source has not heard of it.
-        found.named(20.0 + n, [(f"w{n}:1", "2")], [])
+        found.roster_changed(20.0 + n, [(f"w{n}:1", "2")], [])
         claims = [Row(f"w{k}:1", "1", f"m{n}-{k}", 1, 1, 50.0) for k in range(4)]
-        passed += told(found.page(30.0 + n, "s", claims, True))
+        passed += told(found.page_received(30.0 + n, "s", claims, True))
     assert sorted(step.claim.invoker for step in passed) == ["w1:1", "w2:1", "w2:1", "w3:1", "w3:1", "w3:1"]
     fresh = [Row(f"w{k}:1", "2", f"n{k}", 1, 1, 50.0) for k in range(4)]
-    assert len(told(found.page(40.0, "s", fresh, False))) == 4
+    assert len(told(found.page_received(40.0, "s", fresh, False))) == 4
 
 
 def test_claims_wait_for_the_roster_and_go_when_it_names_their_process():
     found, _ = newcomer(boots=())
-    assert told(found.page(10.0, "s", rows(4), False)) == []
-    assert len(told(found.named(3000.0, [("w0:1", "1"), ("w9:1", "1")]))) == 4
+    assert told(found.page_received(10.0, "s", rows(4), False)) == []
+    assert len(told(found.roster_changed(3000.0, [("w0:1", "1"), ("w9:1", "1")]))) == 4
     found, _ = newcomer(boots=())
-    found.page(10.0, "s", rows(4), False)
-    assert told(found.named(KEEP, [("w0:1", "1")])) == [], "too old by then"
+    found.page_received(10.0, "s", rows(4), False)
+    assert told(found.roster_changed(KEEP, [("w0:1", "1")])) == [], "too old by then"
 
 
 def test_what_drained_is_not_passed_on():
     found, _ = newcomer()
-    found.named(5.0, [], ["w0:1"])
-    assert told(found.page(10.0, "s", rows(5), False)) == []
+    found.roster_changed(5.0, [], ["w0:1"])
+    assert told(found.page_received(10.0, "s", rows(5), False)) == []
 
 
 def test_a_liar_that_is_first_and_fast_loses_all_after_five_lies_and_the_honest_one_is_heard():
-    found, _ = newcomer("liar", "honest", page=200)
-    lies = told(found.page(1.0, "liar", rows(150, age=0.0), False))
+    found, _ = newcomer("liar", "honest", page_rows=200)
+    lies = told(found.page_received(1.0, "liar", rows(150, age=0.0), False))
     assert len(lies) == 64, "a few at first"
-    steps = [found.ended(10.0 + n, "w0:1", f"m{n}", "began load") for n in range(5)]
+    steps = [found.forward_ended(10.0 + n, "w0:1", f"m{n}", "began load") for n in range(5)]
     assert len(taken_back(steps[4])) == 59 and not taken_back(sum(steps[:4], []))
     assert not found.sources["liar"].held_back
     honest = [Row("w0:1", "1", f"h{n}", 1, 1, 50.0) for n in range(40)]
-    assert len(told(found.page(20.0, "honest", honest, False))) == 40
-    assert found.page(30.0, "liar", rows(20, age=0.0), True) == []
+    assert len(told(found.page_received(20.0, "honest", honest, False))) == 40
+    assert found.page_received(30.0, "liar", rows(20, age=0.0), True) == []
 
 
 def test_a_source_that_is_partly_wrong_stays_believed_and_its_part_is_known():
-    found, _ = newcomer(page=1000, allowance=64)
-    chance, steps = random.Random(4), found.page(1.0, "s", rows(600), False)
+    found, _ = newcomer(page_rows=1000, initial_allowance=64)
+    chance, steps = random.Random(4), found.page_received(1.0, "s", rows(600), False)
     for n, claim in enumerate(told(steps)):
         if n >= 60:
             break
-        found.ended(2.0, "w0:1", claim.claim.model, "began load" if chance.random() < 0.3 else "warm")
+        found.forward_ended(2.0, "w0:1", claim.claim.model, "began load" if chance.random() < 0.3 else "warm")
     record = found.sources["s"].record
     assert record.believed and 0.5 < record.trust < 0.85 and record.wrong > 8
-    assert sum(map(len, found.untried.values())) > 100, "more of it as it proves right"
+    assert sum(map(len, found.untested.values())) > 100, "more of it as it proves right"
 
 
 def test_a_snapshot_is_as_old_as_it_is():
-    found = Newcomer([], KEEP)
-    found.named(0.0, [("w0:1", "1")])
+    found = JoiningController([], KEEP)
+    found.roster_changed(0.0, [("w0:1", "1")])
     young = told(found.snapshot(100.0, rows(2), 3000.0))
-    assert all(0 < step.life < KEEP - 3000.0 for step in young)
-    found = Newcomer([], KEEP)
-    found.named(0.0, [("w0:1", "1")])
+    assert all(0 < step.lifetime < KEEP - 3000.0 for step in young)
+    found = JoiningController([], KEEP)
+    found.roster_changed(0.0, [("w0:1", "1")])
     assert found.snapshot(100.0, rows(2), 300_000.0) == [] and found.over
 
 
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -7,8 +7,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sprucespool.grpc import ClientLink, Ledger, Limits, LinkError, ServerLink, Status
-from sprucespool.grpc.events import Answered, Began, HalfClosed, Message, Reset
+from sprucespool.grpc import ClientLink, Limits, LinkError, ReceiveBudget, ServerLink, Status
+from sprucespool.grpc.events import Answered, CallStarted, HalfClosed, Message, Reset
 from sprucespool.grpc.link import PREFACE
 from sprucespool.grpc.status import read_timeout, write_timeout
 
@@ -101,7 +101,7 @@
     server.go_away()
     second = client.call("/a.B/C", "h")
     heard, began = shuttle(client, server)
-    assert not kinds(began, Began) and client.room == 0
+    assert not kinds(began, CallStarted) and client.room == 0
     assert [(event.stream, event.never_ran) for event in kinds(heard, Reset)] == [(second, True)]
     server.send(first, b"still")
     server.finish(first, Status.OK)
@@ -114,7 +114,7 @@
     # Before the server's SETTINGS are known a client may open more.
     numbers = [client.call("/a.B/C", "h") for _ in range(5)]
     heard, began = shuttle(client, server)
-    assert [event.stream for event in kinds(began, Began)] == numbers[:3]
+    assert [event.stream for event in kinds(began, CallStarted)] == numbers[:3]
     assert [(e.stream, e.never_ran) for e in kinds(heard, Reset)] == [(n, True) for n in numbers[3:]]
     assert client.room == 0
 
@@ -133,7 +133,7 @@
     bad, good = client.call("/a.B/C", "h", headers), client.call("/a.B/C", "h")
     heard, began = shuttle(client, server)
     assert [(event.stream, event.status) for event in kinds(heard, Answered)] == [(bad, status)]
-    assert [event.stream for event in kinds(began, Began)] == [good]
+    assert [event.stream for event in kinds(began, CallStarted)] == [good]
 
 
 def plain(headers, body=b""):
@@ -233,7 +233,7 @@
 
 
 def test_half_received_messages_of_many_stay_within_the_ledger_and_the_greedy_are_cut_off():
-    ledger = Ledger(2_000_000)
+    ledger = ReceiveBudget(2_000_000)
     client, server = half_sent(ledger)
     shuttle(client, server)
     # What was let in and has not come yet is not counted: a window a stream.
@@ -242,7 +242,7 @@
         client.reset(number)
     shuttle(client, server)
     assert ledger.used == 0
-    ledger = Ledger(300_000)
+    ledger = ReceiveBudget(300_000)
     client, server = half_sent(ledger)
     with pytest.raises(LinkError, match="half-sent"):
         shuttle(client, server)
--- a/tests/test_pool_crossings.py
+++ b/tests/test_pool_crossings.py
@@ -14,7 +14,7 @@
 
 from sprucespool.grpc import Status
 from sprucespool.daemon.group import GroupCarrier
-from sprucespool.grpc.events import Began, HalfClosed, Message, Reset
+from sprucespool.grpc.events import CallStarted, HalfClosed, Message, Reset
 from sprucespool.grpc.client import ClientLink
 from sprucespool.grpc.server import ServerLink
 from sprucespool.grpc.status import Limits
@@ -68,7 +68,7 @@
 
     @property
     def begun(self):
-        return [event.path for event in self.events if isinstance(event, Began)]
+        return [event.path for event in self.events if isinstance(event, CallStarted)]
 
     def close(self):
         self.connection.close()
@@ -126,7 +126,7 @@
             pool.call("/a/Behind", {}, 2_000.0, b"small", lambda event: None)
             await asyncio.sleep(0.5)
             await peer.read(0.3)
-            [behind] = [event for event in peer.events if isinstance(event, Began) and event.path == "/a/Behind"]
+            [behind] = [event for event in peer.events if isinstance(event, CallStarted) and event.path == "/a/Behind"]
             assert behind.timeout <= 1_550.0
             whole = {event.stream for event in peer.events if isinstance(event, HalfClosed)}
             assert behind.stream in whole and len(whole) == 3
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -8,7 +8,7 @@
 from sprucespool.grpc import Status
 from sprucespool.wire import inference_pb2 as oip
 from sprucespool.wire import outcomes
-from sprucespool.wire.peek import Garbled, glance, wrap_stream_result
+from sprucespool.wire.peek import MalformedRequest, peek_request, wrap_stream_result
 
 FAST = settings(max_examples=300, deadline=None, derandomize=True, database=None)
 TEXT = st.text(max_size=20)
@@ -23,7 +23,7 @@
     message.inputs.add(name="audio", datatype="BYTES", shape=[1, -1]).parameters["model_group"].string_param = "no"
     for name, value in parameters.items():
         setattr(message.parameters[name], KINDS[type(value)], value)
-    found = glance(message.SerializeToString())
+    found = peek_request(message.SerializeToString())
     assert (found.model, found.version, found.id, found.parameters) == (model, version, id, parameters)
 
 
@@ -31,19 +31,19 @@
 @given(st.binary(max_size=120))
 def test_garbage_is_garbled_or_read_and_never_crashes(data):
     try:
-        glance(data)
-    except Garbled as problem:
+        peek_request(data)
+    except MalformedRequest as problem:
         assert str(problem)
 
 
 def test_names_without_end_and_parameters_without_number_are_refused():
-    with pytest.raises(Garbled, match="512 are allowed"):
-        glance(oip.ModelInferRequest(model_name="m" * 600).SerializeToString())
+    with pytest.raises(MalformedRequest, match="512 are allowed"):
+        peek_request(oip.ModelInferRequest(model_name="m" * 600).SerializeToString())
     many = oip.ModelInferRequest()
     for n in range(70):
         many.parameters[f"p{n}"].bool_param = True
-    with pytest.raises(Garbled, match="more than 64 parameters"):
-        glance(many.SerializeToString())
+    with pytest.raises(MalformedRequest, match="more than 64 parameters"):
+        peek_request(many.SerializeToString())
 
 
 def test_a_wrapped_result_is_one_that_protobuf_reads():
@@ -67,5 +67,5 @@
 
 def test_nonsense_in_an_invokers_trailers_is_as_if_untold():
     trailers = {"spruce-found": "hot", "spruce-same-model": "-3", "spruce-report": "util=0.5,x,y=z,=4,w=1e999"}
-    assert outcomes.found(trailers) is it.Found.UNTOLD and outcomes.whole(trailers, "spruce-same-model") is None
-    assert outcomes.report(trailers) == {"util": 0.5}
+    assert outcomes.read_found(trailers) is it.Found.UNTOLD and outcomes.read_int(trailers, "spruce-same-model") is None
+    assert outcomes.read_report(trailers) == {"util": 0.5}
