--- a/sprucespool/learning/__init__.py
+++ b/sprucespool/learning/__init__.py
@@ -1,7 +1,8 @@
-"""What a new controller is told by others, and how far it is believed. No I/O, no clock.
+"""How a starting controller learns loaded copies from other controllers, and how far it trusts them. No I/O, no clock.
 
-`knowledge`: claims and their merge. `codec`: pages of claims as bytes. `trust`: how long a claim is believed, by age,
-distance and its source's record. `newcomer`: whom to ask, what to pass on to the module, what proved wrong.
+`knowledge`: claims and their merge. `codec`: pages of claims as bytes. `trust`: for how long a claim is trusted, by
+its age, its hops and its source's record. `joining`: which sources to ask, which claims to report to the module, and
+which claims proved wrong.
 """
 
 from sprucespool.learning.codec import CodecError, decode, encode
--- a/sprucespool/learning/codec.py
+++ b/sprucespool/learning/codec.py
@@ -1,9 +1,9 @@
-"""Pages of claims as bytes, on the wire and in snapshot files alike.
+"""Binary format of pages of claims, both on the wire and in snapshot files.
 
-    magic "SPKN" | version u8 | least reader u8 | length u32 | crc32 u32 | msgpack [written_at, [row ...]]
+    magic "SPKN" | version u8 | min reader u8 | length u32 | crc32 u32 | msgpack [written_at, [row ...]]
 
-A reader takes any version whose `least reader` it is at least: later versions append fields, which are passed over.
-Everything is bounded before it is decoded, and a page is whole or refused.
+A reader accepts any page whose `min reader` version is not above its own: later versions append fields, which are
+ignored. All sizes are checked before decoding, and a page is decoded completely or rejected.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 
 from sprucespool.learning.knowledge import Row
 
-MAGIC, VERSION, LEAST_READER = b"SPKN", 1, 1
-HEAD = struct.Struct(">4sBBII")
-MAX_BYTES, MOST_ROWS, LONGEST_NAME, LONGEST_AGE = 4 * 2**20, 50_000, 512, 3.2e10
+MAGIC, VERSION, MIN_READER = b"SPKN", 1, 1
+HEADER = struct.Struct(">4sBBII")
+MAX_BYTES, MAX_ROWS, MAX_NAME_LENGTH, MAX_AGE_MS = 4 * 2**20, 50_000, 512, 3.2e10
 
 
 class CodecError(ValueError):
-    """Bytes that are no page; the text says what was expected."""
+    """The bytes are not a valid page; the text says what was expected."""
 
 
 class _Body(msgspec.Struct, array_like=True):
-    # Wall clock, ms since 1970: only for files, which have no asker to count from. 0 where it is not told.
+    # Wall clock, ms since 1970; 0 if not set. Only for files, because no request gives the time to count ages from.
     written_at: float
     rows: list[Row]
 
@@ -35,45 +35,45 @@
 
 
 def encode(rows: list[Row], written_at: float = 0.0) -> bytes:
-    """Raises CodecError if there are more rows or bytes than any reader takes."""
-    if len(rows) > MOST_ROWS:
-        raise CodecError(f"{len(rows)} rows, {MOST_ROWS} are allowed")
+    """Raises CodecError if there are more rows or bytes than readers accept."""
+    if len(rows) > MAX_ROWS:
+        raise CodecError(f"{len(rows)} rows, {MAX_ROWS} are allowed")
     body = _ENCODER.encode(_Body(written_at, rows))
     if len(body) > MAX_BYTES:
         raise CodecError(f"{len(body)} bytes, {MAX_BYTES} are allowed")
-    return HEAD.pack(MAGIC, VERSION, LEAST_READER, len(body), zlib.crc32(body)) + body
+    return HEADER.pack(MAGIC, VERSION, MIN_READER, len(body), zlib.crc32(body)) + body
 
 
 def decode(data: bytes) -> tuple[list[Row], float]:
-    """(rows, wall clock of writing). Raises CodecError."""
-    if len(data) < HEAD.size:
-        raise CodecError(f"expected a head of {HEAD.size} bytes, got {len(data)} bytes in all")
-    magic, version, least, length, crc = HEAD.unpack_from(data)
+    """Returns (rows, wall clock of writing). Raises CodecError."""
+    if len(data) < HEADER.size:
+        raise CodecError(f"expected a header of {HEADER.size} bytes, got {len(data)} bytes in total")
+    magic, version, min_reader, length, crc = HEADER.unpack_from(data)
     if magic != MAGIC:
-        raise CodecError(f"expected {MAGIC!r} at the begin, got {magic!r}")
-    if least > VERSION:
-        raise CodecError(f"written by version {version} for readers from {least} on, this one is {VERSION}")
-    if length > MAX_BYTES or len(data) != HEAD.size + length:
-        raise CodecError(f"expected {length} bytes of body (at most {MAX_BYTES}), got {len(data) - HEAD.size}")
-    body = data[HEAD.size :]
+        raise CodecError(f"expected {MAGIC!r} at the start, got {magic!r}")
+    if min_reader > VERSION:
+        raise CodecError(f"written by version {version} for readers from {min_reader} on, this reader is {VERSION}")
+    if length > MAX_BYTES or len(data) != HEADER.size + length:
+        raise CodecError(f"expected a body of {length} bytes (at most {MAX_BYTES}), got {len(data) - HEADER.size}")
+    body = data[HEADER.size :]
     if zlib.crc32(body) != crc:
-        raise CodecError("the checksum does not fit the body")
+        raise CodecError("the checksum does not match the body")
     try:
-        found = _DECODER.decode(body)
-    except (msgspec.DecodeError, RecursionError) as problem:
-        raise CodecError(f"expected rows: {problem}") from None
-    if len(found.rows) > MOST_ROWS:
-        raise CodecError(f"{len(found.rows)} rows, {MOST_ROWS} are allowed")
-    for number, row in enumerate(found.rows):
+        decoded = _DECODER.decode(body)
+    except (msgspec.DecodeError, RecursionError) as error:
+        raise CodecError(f"expected rows: {error}") from None
+    if len(decoded.rows) > MAX_ROWS:
+        raise CodecError(f"{len(decoded.rows)} rows, {MAX_ROWS} are allowed")
+    for number, row in enumerate(decoded.rows):
         if not (
             math.isfinite(row.age)
-            and 0 <= row.age <= LONGEST_AGE
+            and 0 <= row.age <= MAX_AGE_MS
             and 0 < row.copies <= 1000
             and 0 < row.lanes <= 100_000
             and 0 <= row.hops <= 100
-            and max(len(row.invoker), len(row.boot), len(row.model)) <= LONGEST_NAME
+            and max(len(row.invoker), len(row.boot), len(row.model)) <= MAX_NAME_LENGTH
         ):
-            raise CodecError(f"row {number}: a figure or name out of bounds")
-    if not math.isfinite(found.written_at):
-        raise CodecError("expected a time of writing")
-    return found.rows, found.written_at
+            raise CodecError(f"row {number}: a value or name is out of bounds")
+    if not math.isfinite(decoded.written_at):
+        raise CodecError("expected a finite time of writing")
+    return decoded.rows, decoded.written_at
--- a/sprucespool/learning/knowledge.py
+++ b/sprucespool/learning/knowledge.py
@@ -1,12 +1,13 @@
-"""Claims that copies stand somewhere, and their merge.
+"""Claims that an invoker has copies of a model loaded, and their merge.
 
-Order: of two claims on the same copies the one whose sign is younger says more; with equal signs the one that came a
-shorter way, then by source and numbers, so that no two different claims are equal. The merge takes the greater for
-each key: the greatest of a totally ordered set, so it is commutative, associative and idempotent (a join-semilattice),
-whoever tells whom how often.
+Order: of two claims about the same copies, the one with the more recent evidence wins; then the one with fewer hops,
+then by source and counts, so that no two different claims compare equal. The merge keeps the greater claim for each
+key. The order is total, so the merge is commutative, associative and idempotent (a join-semilattice): it does not
+matter who sends claims to whom, or how often.
 
-Clocks: a claim travels with its age. A receiver counts it from the moment at which it asked, which lies before the
-moment at which the age was told: on no way does a claim grow younger, also when two tell each other for ever.
+Clocks: a claim is sent with its age. The receiver subtracts the age from the time of its request, which is before the
+time at which the sender computed the age. So a claim never becomes younger by being passed on, even if two controllers
+keep exchanging it.
 """
 
 from __future__ import annotations
@@ -21,8 +22,8 @@
 
 
 class Row(msgspec.Struct, array_like=True):
-    """A claim on its way: `age` ms when it was told, `hops` how often it was told on (0: the teller's own answer).
-    Later versions may append fields with defaults; what is appended is passed over here."""
+    """An encoded claim: `age` in ms when it was sent, `hops` how often it was passed on (0: from a response that the
+    sender itself received). Later versions may append fields with defaults; this version ignores appended fields."""
 
     invoker: str
     boot: str
@@ -35,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """A claim held here: `seen_at` is the time of the sign on the own clock, never later than it was."""
+    """A stored claim: `seen_at` is the time of its evidence on the local clock, never later than the true time."""
 
     invoker: str
     boot: str
@@ -68,18 +69,18 @@
 
 
 class ClaimStore:
-    """Claims by key within bounds, forgotten when older than `keep` ms.
+    """Claims by key, at most `max_claims` of them, removed when older than `keep_ms`.
 
-    Expiry goes by buckets of a sixteenth of that time: a claim is looked at when its bucket ends, instead of all being
-    sorted for each look. With more than `most` claims the oldest bucket gives way first.
+    Expiry uses buckets that are a sixteenth of that time wide: a claim is checked when its bucket ends, instead of
+    sorting all claims at each check. Above `max_claims` the oldest bucket is evicted from first.
     """
 
-    def __init__(self, keep: float, most: int = 100_000):
-        self.keep, self.most, self.width = keep, most, keep / 16
+    def __init__(self, keep_ms: float, max_claims: int = 100_000):
+        self.keep_ms, self.max_claims, self.bucket_ms = keep_ms, max_claims, keep_ms / 16
         self.claims: dict[Key, Claim] = {}
         self.buckets: dict[int, set[Key]] = {}
-        self.order: deque[int] = deque()
-        self.dropped = 0
+        self.bucket_order: deque[int] = deque()
+        self.evicted = 0
 
     def __len__(self) -> int:
         return len(self.claims)
@@ -88,57 +89,57 @@
         return iter(self.claims.values())
 
     def _bucket(self, claim: Claim) -> int:
-        return int(claim.seen_at // self.width)
+        return int(claim.seen_at // self.bucket_ms)
 
     def merge(self, claims: Iterable[Claim]) -> list[Claim]:
-        """Take claims in; gives those that say more than what was held."""
-        taken = []
+        """Adds claims; returns those that replaced a lower claim or are new."""
+        accepted = []
         for claim in claims:
             held = self.claims.get(claim.key)
             if held is not None and held.rank >= claim.rank:
                 continue
             if held is not None:
-                self.forget(held.key)
+                self.remove(held.key)
             self.claims[claim.key] = claim
             number = self._bucket(claim)
             if number not in self.buckets:
                 self.buckets[number] = set()
-                self._note(number)
+                self._insert_bucket(number)
             self.buckets[number].add(claim.key)
-            taken.append(claim)
-        while len(self.claims) > self.most:
-            self._drop_oldest()
-        return [claim for claim in taken if self.claims.get(claim.key) is claim] if self.dropped else taken
+            accepted.append(claim)
+        while len(self.claims) > self.max_claims:
+            self._evict_oldest()
+        return [claim for claim in accepted if self.claims.get(claim.key) is claim] if self.evicted else accepted
 
-    def _note(self, number: int):
-        # Buckets begin nearly in order; the few that do not find their place from the end.
+    def _insert_bucket(self, number: int):
+        # Buckets are created nearly in order; for the few that are not, the position is searched from the end.
         later = []
-        while self.order and self.order[-1] > number:
-            later.append(self.order.pop())
-        self.order.append(number)
-        self.order.extend(reversed(later))
-
-    def _drop_oldest(self):
-        while self.order:
-            keys = self.buckets.get(self.order[0])
+        while self.bucket_order and self.bucket_order[-1] > number:
+            later.append(self.bucket_order.pop())
+        self.bucket_order.append(number)
+        self.bucket_order.extend(reversed(later))
+
+    def _evict_oldest(self):
+        while self.bucket_order:
+            keys = self.buckets.get(self.bucket_order[0])
             if keys:
-                # The least, and of equals the one first by key: two that hold the same must drop the same, and a
-                # set's order is another in each process.
-                self.dropped += 1
-                self.forget(min(keys, key=lambda key: (self.claims[key].rank, key)))
+                # The lowest rank, with ties broken by key: two controllers with the same claims must evict the same
+                # one, and the order of a set differs between processes.
+                self.evicted += 1
+                self.remove(min(keys, key=lambda key: (self.claims[key].rank, key)))
                 return
-            self.buckets.pop(self.order.popleft(), None)
+            self.buckets.pop(self.bucket_order.popleft(), None)
 
-    def forget(self, key: Key) -> Claim | None:
+    def remove(self, key: Key) -> Claim | None:
         claim = self.claims.pop(key, None)
         if claim is not None:
             self.buckets[self._bucket(claim)].discard(key)
         return claim
 
     def expire(self, now: float) -> list[Claim]:
-        """Drop what is too old to be of use; gives it."""
-        gone, least = [], now - self.keep
-        while self.order and (self.order[0] + 1) * self.width <= least:
-            for key in self.buckets.pop(self.order.popleft()):
-                gone.append(self.claims.pop(key))
-        return gone
+        """Removes and returns the claims that are too old to be used."""
+        expired, cutoff = [], now - self.keep_ms
+        while self.bucket_order and (self.bucket_order[0] + 1) * self.bucket_ms <= cutoff:
+            for key in self.buckets.pop(self.bucket_order.popleft()):
+                expired.append(self.claims.pop(key))
+        return expired
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -1,4 +1,4 @@
-"""What a newcomer is told: merged as a lattice, never younger than it was, believed as far as it proves right."""
+"""Claims from other controllers: their merge is a lattice, ages never shrink, and trust follows proven claims."""
 
 import random
 import time
@@ -24,7 +24,7 @@
     decode,
     encode,
 )
-from sprucespool.learning import codec as cd
+from sprucespool.learning import codec
 from sprucespool.learning.knowledge import claim_from_row, row_from_claim
 from sprucespool.transport.listener import Listener, Server, unary
 from sprucespool.wire import names
@@ -33,7 +33,7 @@
 pytestmark = pytest.mark.sockets
 
 FAST = settings(max_examples=200, deadline=None, derandomize=True, database=None)
-KEEP = 10_000.0
+KEEP_ALIVE_MS = 10_000.0
 CLAIM = st.builds(
     Claim,
     st.sampled_from("ab"),
@@ -47,28 +47,28 @@
 )
 
 
-def merged(*parts):
-    found = ClaimStore(KEEP)
-    for part in parts:
-        found.merge(part)
-    return found.claims
+def merge_all(*batches):
+    store = ClaimStore(KEEP_ALIVE_MS)
+    for batch in batches:
+        store.merge(batch)
+    return store.claims
 
 
 @FAST
 @given(st.lists(CLAIM, max_size=8), st.lists(CLAIM, max_size=8), st.lists(CLAIM, max_size=8))
 def test_the_merge_is_commutative_associative_and_idempotent(a, b, c):
-    assert merged(a, b) == merged(b, a)
-    left, right = merged(a, b), merged(b, c)
-    assert merged(list(left.values()), c) == merged(a, list(right.values())) == merged(a, b, c)
-    assert merged(a, a) == merged(a)
+    assert merge_all(a, b) == merge_all(b, a)
+    left, right = merge_all(a, b), merge_all(b, c)
+    assert merge_all(list(left.values()), c) == merge_all(a, list(right.values())) == merge_all(a, b, c)
+    assert merge_all(a, a) == merge_all(a)
 
 
 @FAST
 @given(st.lists(st.tuples(CLAIM, st.floats(0, 5e4)), max_size=60), st.integers(1, 12))
-def test_bounded_and_expired_knowledge_is_that_of_a_plain_dict_with_a_sort(steps, most):
-    found, plain, now = ClaimStore(KEEP, most), {}, 0.0
-    for claim, ahead in steps:
-        now += ahead / 20
+def test_claim_store_evicts_and_expires_like_a_sorted_dict(steps, max_claims):
+    store, expected, now = ClaimStore(KEEP_ALIVE_MS, max_claims), {}, 0.0
+    for claim, advance in steps:
+        now += advance / 20
         claim = Claim(
             claim.invoker,
             claim.boot,
@@ -79,39 +79,44 @@
             claim.hops,
             claim.source,
         )
-        found.merge([claim])
-        if claim.key not in plain or plain[claim.key].rank < claim.rank:
-            plain[claim.key] = claim
-        while len(plain) > most:
-            # As by buckets: from the oldest bucket the least.
-            oldest = min(int(one.seen_at // found.width) for one in plain.values())
-            del plain[
+        store.merge([claim])
+        if claim.key not in expected or expected[claim.key].rank < claim.rank:
+            expected[claim.key] = claim
+        while len(expected) > max_claims:
+            # As in the store: the lowest rank of the oldest bucket.
+            oldest = min(int(other.seen_at // store.bucket_ms) for other in expected.values())
+            del expected[
                 min(
-                    (one for one in plain.values() if int(one.seen_at // found.width) == oldest),
-                    key=lambda one: (one.rank, one.key),
+                    (other for other in expected.values() if int(other.seen_at // store.bucket_ms) == oldest),
+                    key=lambda other: (other.rank, other.key),
                 ).key
             ]
-        found.expire(now)
-        plain = {
-            key: one for key, one in plain.items() if (int(one.seen_at // found.width) + 1) * found.width > now - KEEP
+        store.expire(now)
+        expected = {
+            key: other
+            for key, other in expected.items()
+            if (int(other.seen_at // store.bucket_ms) + 1) * store.bucket_ms > now - KEEP_ALIVE_MS
         }
-        assert found.claims == plain
+        assert store.claims == expected
 
 
 @FAST
 @given(st.floats(-1e9, 1e9), st.floats(-1e9, 1e9), st.lists(st.floats(0, 500), min_size=2, max_size=40))
-def test_two_that_tell_each_other_in_a_circle_never_make_a_claim_younger(clock_a, clock_b, delays):
-    true, seen = 0.0, 0.0
-    claim, clock, other = Claim("w", "1", "m", 1, 1, clock_a + seen, 0, "a"), clock_a, clock_b
+def test_a_claim_passed_back_and_forth_never_becomes_younger(clock_a, clock_b, delays):
+    true_time, seen_at = 0.0, 0.0
+    claim, clock, other = Claim("w", "1", "m", 1, 1, clock_a + seen_at, 0, "a"), clock_a, clock_b
     for delay in delays:
-        asked_at = other + true
-        true += delay
-        row = row_from_claim(claim, clock + true)
-        true += delay
+        asked_at = other + true_time
+        true_time += delay
+        row = row_from_claim(claim, clock + true_time)
+        true_time += delay
         claim = claim_from_row(row, asked_at, "x")
         clock, other = other, clock
-        assert claim.seen_at - clock <= seen + 1e-5, "a sign younger than it was"
-        assert claim_lifetime(clock + true - claim.seen_at, claim.hops, KEEP, 1.0) <= max(0.0, KEEP - true) + 1e-5
+        assert claim.seen_at - clock <= seen_at + 1e-5, "the evidence became younger"
+        assert (
+            claim_lifetime(clock + true_time - claim.seen_at, claim.hops, KEEP_ALIVE_MS, 1.0)
+            <= max(0.0, KEEP_ALIVE_MS - true_time) + 1e-5
+        )
     assert claim.hops == len(delays)
 
 
@@ -129,26 +134,28 @@
 
 @FAST
 @given(st.lists(ROW, max_size=9), st.floats(0, 1e13))
-def test_a_page_is_read_as_it_was_written_by_later_versions_too(rows, wall):
+def test_a_page_round_trips_and_later_versions_are_readable(rows, wall):
     data = encode(rows, wall)
     assert decode(data) == (rows, wall)
-    body = cd.msgspec.msgpack.encode([wall, [[*cd.msgspec.to_builtins(row), "later", 7] for row in rows], {"more": 1}])
-    later = cd.HEAD.pack(cd.MAGIC, 9, 1, len(body), cd.zlib.crc32(body)) + body
+    body = codec.msgspec.msgpack.encode(
+        [wall, [[*codec.msgspec.to_builtins(row), "later", 7] for row in rows], {"more": 1}]
+    )
+    later = codec.HEADER.pack(codec.MAGIC, 9, 1, len(body), codec.zlib.crc32(body)) + body
     assert decode(later) == (rows, wall)
     with pytest.raises(CodecError, match="for readers from 2 on"):
-        decode(cd.HEAD.pack(cd.MAGIC, 9, 2, len(body), cd.zlib.crc32(body)) + body)
+        decode(codec.HEADER.pack(codec.MAGIC, 9, 2, len(body), codec.zlib.crc32(body)) + body)
 
 
 @FAST
 @given(st.data())
-def test_torn_changed_and_foreign_bytes_are_refused_and_never_crash(data):
+def test_truncated_corrupt_and_foreign_bytes_raise_codec_error(data):
     good = encode([Row("w:1", "1", f"m{n}", 1, 2, 5.0 * n) for n in range(5)], 1e12)
-    place = data.draw(st.integers(0, len(good) - 1))
+    position = data.draw(st.integers(0, len(good) - 1))
     changed = bytearray(good)
-    changed[place] ^= data.draw(st.integers(1, 255))
-    for bad in (good[:place], bytes(changed), data.draw(st.binary(max_size=60)), good + b"x"):
-        if bad[4:6] == bytes([changed[4], 1]) and bad[:4] == cd.MAGIC and bad[6:] == good[6:]:
-            continue  # another version that this reader may read
+    changed[position] ^= data.draw(st.integers(1, 255))
+    for bad in (good[:position], bytes(changed), data.draw(st.binary(max_size=60)), good + b"x"):
+        if bad[4:6] == bytes([changed[4], 1]) and bad[:4] == codec.MAGIC and bad[6:] == good[6:]:
+            continue  # a version that this reader accepts
         with pytest.raises(CodecError):
             decode(bad)
 
@@ -164,166 +171,174 @@
         Row("w", "1", "m", 1, 1, 5.0, -1),
     ],
 )
-def test_figures_and_names_out_of_bounds_are_refused(row):
+def test_values_and_names_out_of_bounds_raise_codec_error(row):
     with pytest.raises(CodecError, match="row 0"):
         decode(encode([row]))
 
 
-def test_less_is_believed_of_what_is_older_came_further_or_from_whom_was_wrong():
-    assert claim_lifetime(0, 1, KEEP, 0.9) > claim_lifetime(4000, 1, KEEP, 0.9) > claim_lifetime(4000, 2, KEEP, 0.9) > 0
-    assert claim_lifetime(4000, 1, KEEP, 0.9) > claim_lifetime(4000, 1, KEEP, 0.5) > 0
+def test_claim_lifetime_falls_with_age_hops_and_wrong_claims_of_the_source():
     assert (
-        claim_lifetime(KEEP, 1, KEEP, 1.0) == claim_lifetime(0, 3, KEEP, 1.0) == claim_lifetime(0, 1, KEEP, 0.39) == 0
+        claim_lifetime(0, 1, KEEP_ALIVE_MS, 0.9)
+        > claim_lifetime(4000, 1, KEEP_ALIVE_MS, 0.9)
+        > claim_lifetime(4000, 2, KEEP_ALIVE_MS, 0.9)
+        > 0
+    )
+    assert claim_lifetime(4000, 1, KEEP_ALIVE_MS, 0.9) > claim_lifetime(4000, 1, KEEP_ALIVE_MS, 0.5) > 0
+    assert (
+        claim_lifetime(KEEP_ALIVE_MS, 1, KEEP_ALIVE_MS, 1.0)
+        == claim_lifetime(0, 3, KEEP_ALIVE_MS, 1.0)
+        == claim_lifetime(0, 1, KEEP_ALIVE_MS, 0.39)
+        == 0
     )
     assert SourceRecord(0, 4).believed and not SourceRecord(0, 5).believed and SourceRecord(70, 30).believed
 
 
-# The newcomer by hand
+# JoiningController without I/O
 
 
 def rows(count, boot="1", age=100.0, invoker="w0:1", hops=0):
     return [Row(invoker, boot, f"m{n}", 1, 2, age, hops) for n in range(count)]
 
 
-def newcomer(*sources, boots=(("w0:1", "1"),), **over):
-    found = JoiningController(list(sources) or ["s"], KEEP, JoiningLimits(**over))
+def joining_controller(*sources, boots=(("w0:1", "1"),), **over):
+    found = JoiningController(list(sources) or ["s"], KEEP_ALIVE_MS, JoiningLimits(**over))
     found.roster_changed(0.0, boots)
     return found, found.start(0.0)
 
 
-def told(steps):
+def reported(steps):
     return [step for step in steps if isinstance(step, ReportClaim) and step.lifetime > 0]
 
 
-def taken_back(steps):
+def withdrawn(steps):
     return [step for step in steps if isinstance(step, ReportClaim) and step.lifetime <= 0]
 
 
-def test_pages_are_asked_one_after_the_other_from_a_few_sources_at_once():
-    found, steps = newcomer("a", "b", "c", "d", max_concurrent=2, page_rows=5)
+def test_pages_are_fetched_in_sequence_from_a_limited_number_of_sources():
+    found, steps = joining_controller("a", "b", "c", "d", max_concurrent=2, page_rows=5)
     assert steps == [FetchPage("a", 0, 5), FetchPage("b", 0, 5)]
     steps = found.page_received(10.0, "a", rows(5), True)
-    assert FetchPage("a", 5, 5) in steps and len(told(steps)) == 5
+    assert FetchPage("a", 5, 5) in steps and len(reported(steps)) == 5
     assert [step for step in found.page_received(20.0, "a", rows(3), False) if isinstance(step, FetchPage)] == [
         FetchPage("c", 0, 5)
     ]
     assert found.source_failed(30.0, "b", "gone") == [FetchPage("d", 0, 5)]
 
 
-def test_a_source_that_is_slow_or_dies_mid_page_is_given_up_and_what_it_told_stays():
-    found, _ = newcomer("a", "b", max_concurrent=1, page_rows=5, page_timeout=1000.0)
-    assert len(told(found.page_received(10.0, "a", rows(5), True))) == 5
+def test_a_slow_or_failed_source_is_given_up_and_its_claims_stay():
+    found, _ = joining_controller("a", "b", max_concurrent=1, page_rows=5, page_timeout=1000.0)
+    assert len(reported(found.page_received(10.0, "a", rows(5), True))) == 5
     assert found.check(900.0) == [] and found.check(1010.0) == [FetchPage("b", 0, 5)]
     assert found.page_received(1020.0, "a", rows(9), True) == [], "late"
     assert found.source_failed(1030.0, "b", "reset") == [] and found.sources["a"].why == "too slow"
     assert len(found.untested["w0:1", "1"]) == 5
 
 
-def test_nothing_is_asked_once_the_time_for_it_is_over():
-    found, _ = newcomer("a", total_timeout=500.0, page_rows=5)
+def test_no_page_is_fetched_after_the_total_timeout():
+    found, _ = joining_controller("a", total_timeout=500.0, page_rows=5)
     assert [s for s in found.page_received(600.0, "a", rows(5), True) if isinstance(s, FetchPage)] == []
 
 
-def test_a_claim_of_a_process_that_is_no_more_is_never_passed_on():
-    found, _ = newcomer(boots=(("w0:1", "2"),))
-    assert told(found.page_received(10.0, "s", rows(5, boot="1"), False)) == []
-    found, _ = newcomer()
-    assert len(told(found.page_received(10.0, "s", rows(5), False))) == 5
+def test_a_claim_about_an_earlier_process_is_never_reported():
+    found, _ = joining_controller(boots=(("w0:1", "2"),))
+    assert reported(found.page_received(10.0, "s", rows(5, boot="1"), False)) == []
+    found, _ = joining_controller()
+    assert len(reported(found.page_received(10.0, "s", rows(5), False))) == 5
     found.roster_changed(50.0, [("w0:1", "2")])
     assert not found.untested and found.forward_ended(60.0, "w0:1", "m1", "began load") == []
 
 
-def test_a_deploy_while_it_learns_leaves_only_the_claims_of_processes_that_still_run():
-    found, _ = newcomer(boots=[(f"w{n}:1", "1") for n in range(4)], page_rows=1000)
-    passed = []
+def test_a_deploy_during_learning_leaves_only_claims_about_running_processes():
+    found, _ = joining_controller(boots=[(f"w{n}:1", "1") for n in range(4)], page_rows=1000)
+    all_reported = []
     for n in range(4):
-        # One process after the other is replaced between pages; the source has not heard of it.
+        # Processes are replaced one by one between pages, and the source does not know about it yet.
         found.roster_changed(20.0 + n, [(f"w{n}:1", "2")], [])
         claims = [Row(f"w{k}:1", "1", f"m{n}-{k}", 1, 1, 50.0) for k in range(4)]
-        passed += told(found.page_received(30.0 + n, "s", claims, True))
-    assert sorted(step.claim.invoker for step in passed) == ["w1:1", "w2:1", "w2:1", "w3:1", "w3:1", "w3:1"]
+        all_reported += reported(found.page_received(30.0 + n, "s", claims, True))
+    assert sorted(step.claim.invoker for step in all_reported) == ["w1:1", "w2:1", "w2:1", "w3:1", "w3:1", "w3:1"]
     fresh = [Row(f"w{k}:1", "2", f"n{k}", 1, 1, 50.0) for k in range(4)]
-    assert len(told(found.page_received(40.0, "s", fresh, False))) == 4
+    assert len(reported(found.page_received(40.0, "s", fresh, False))) == 4
 
 
-def test_claims_wait_for_the_roster_and_go_when_it_names_their_process():
-    found, _ = newcomer(boots=())
-    assert told(found.page_received(10.0, "s", rows(4), False)) == []
-    assert len(told(found.roster_changed(3000.0, [("w0:1", "1"), ("w9:1", "1")]))) == 4
-    found, _ = newcomer(boots=())
+def test_claims_are_reported_once_the_roster_lists_their_process():
+    found, _ = joining_controller(boots=())
+    assert reported(found.page_received(10.0, "s", rows(4), False)) == []
+    assert len(reported(found.roster_changed(3000.0, [("w0:1", "1"), ("w9:1", "1")]))) == 4
+    found, _ = joining_controller(boots=())
     found.page_received(10.0, "s", rows(4), False)
-    assert told(found.roster_changed(KEEP, [("w0:1", "1")])) == [], "too old by then"
+    assert reported(found.roster_changed(KEEP_ALIVE_MS, [("w0:1", "1")])) == [], "too old by then"
 
 
-def test_what_drained_is_not_passed_on():
-    found, _ = newcomer()
+def test_claims_about_a_draining_invoker_are_not_reported():
+    found, _ = joining_controller()
     found.roster_changed(5.0, [], ["w0:1"])
-    assert told(found.page_received(10.0, "s", rows(5), False)) == []
+    assert reported(found.page_received(10.0, "s", rows(5), False)) == []
 
 
-def test_a_liar_that_is_first_and_fast_loses_all_after_five_lies_and_the_honest_one_is_heard():
-    found, _ = newcomer("liar", "honest", page_rows=200)
-    lies = told(found.page_received(1.0, "liar", rows(150, age=0.0), False))
-    assert len(lies) == 64, "a few at first"
+def test_claims_of_a_lying_source_are_withdrawn_after_five_wrong_ones_and_an_honest_source_is_used():
+    found, _ = joining_controller("liar", "honest", page_rows=200)
+    lies = reported(found.page_received(1.0, "liar", rows(150, age=0.0), False))
+    assert len(lies) == 64, "initial allowance"
     steps = [found.forward_ended(10.0 + n, "w0:1", f"m{n}", "began load") for n in range(5)]
-    assert len(taken_back(steps[4])) == 59 and not taken_back(sum(steps[:4], []))
-    assert not found.sources["liar"].held_back
+    assert len(withdrawn(steps[4])) == 59 and not withdrawn(sum(steps[:4], []))
+    assert not found.sources["liar"].queued
     honest = [Row("w0:1", "1", f"h{n}", 1, 1, 50.0) for n in range(40)]
-    assert len(told(found.page_received(20.0, "honest", honest, False))) == 40
+    assert len(reported(found.page_received(20.0, "honest", honest, False))) == 40
     assert found.page_received(30.0, "liar", rows(20, age=0.0), True) == []
 
 
-def test_a_source_that_is_partly_wrong_stays_believed_and_its_part_is_known():
-    found, _ = newcomer(page_rows=1000, initial_allowance=64)
+def test_a_partly_wrong_source_stays_trusted_and_its_trust_reflects_the_fraction():
+    found, _ = joining_controller(page_rows=1000, initial_allowance=64)
     chance, steps = random.Random(4), found.page_received(1.0, "s", rows(600), False)
-    for n, claim in enumerate(told(steps)):
+    for n, claim in enumerate(reported(steps)):
         if n >= 60:
             break
         found.forward_ended(2.0, "w0:1", claim.claim.model, "began load" if chance.random() < 0.3 else "warm")
     record = found.sources["s"].record
     assert record.believed and 0.5 < record.trust < 0.85 and record.wrong > 8
-    assert sum(map(len, found.untested.values())) > 100, "more of it as it proves right"
+    assert sum(map(len, found.untested.values())) > 100, "the allowance grows with right claims"
 
 
-def test_a_snapshot_is_as_old_as_it_is():
-    found = JoiningController([], KEEP)
+def test_claims_of_a_snapshot_keep_its_age():
+    found = JoiningController([], KEEP_ALIVE_MS)
     found.roster_changed(0.0, [("w0:1", "1")])
-    young = told(found.snapshot(100.0, rows(2), 3000.0))
-    assert all(0 < step.lifetime < KEEP - 3000.0 for step in young)
-    found = JoiningController([], KEEP)
+    claims = reported(found.snapshot(100.0, rows(2), 3000.0))
+    assert all(0 < step.lifetime < KEEP_ALIVE_MS - 3000.0 for step in claims)
+    found = JoiningController([], KEEP_ALIVE_MS)
     found.roster_changed(0.0, [("w0:1", "1")])
-    assert found.snapshot(100.0, rows(2), 300_000.0) == [] and found.over
+    assert found.snapshot(100.0, rows(2), 300_000.0) == [] and found.finished
 
 
 # Over sockets
 
-LEARNS = 'learning {{ {0} }}\nfleet keep-alive="20s"'
+LEARNING_SETTINGS = 'learning {{ {0} }}\nfleet keep-alive="20s"'
 
 
-def learns(*daemons, more=""):
-    return LEARNS.format("; ".join(f'source "127.0.0.1:{one.port}"' for one in daemons) + more)
+def learning_settings(*daemons, more=""):
+    return LEARNING_SETTINGS.format("; ".join(f'source "127.0.0.1:{one.port}"' for one in daemons) + more)
 
 
-def teach(stage, folder, invokers, models=12):
+def start_controller_with_loaded_models(stage, folder, invokers, models=12):
     folder.mkdir()
-    first = stage.controller(folder, invokers, LEARNS.format(""))
-    with channel(first) as line:
+    first = stage.controller(folder, invokers, LEARNING_SETTINGS.format(""))
+    with channel(first) as grpc_channel:
         for n in range(models):
-            line.unary_unary(INFER)(request(f"m{n}", f"t{n}"), timeout=3)
+            grpc_channel.unary_unary(INFER)(request(f"m{n}", f"t{n}"), timeout=3)
     return first
 
 
-def loads(stage, *standins):
+def count_loads(stage, *standins):
     return stage.call(lambda: sum(one.worker.tally.loads for one in standins))
 
 
-def ask_all(daemon, models=12):
-    with channel(daemon) as line:
+def infer_each_model(daemon, models=12):
+    with channel(daemon) as grpc_channel:
         for n in range(models):
-            line.unary_unary(INFER)(request(f"m{n}", f"a{n}"), timeout=3)
+            grpc_channel.unary_unary(INFER)(request(f"m{n}", f"a{n}"), timeout=3)
 
 
-def settle(stage, daemon, expected, timeout=3.0):
+def wait_for_reported_claims(stage, daemon, expected, timeout=3.0):
     wait_until(lambda: stage.call(lambda: daemon.door.exchange.told) >= expected, timeout)
     return stage.call(lambda: daemon.door.exchange.told)
 
@@ -335,32 +350,32 @@
     found.close()
 
 
-def test_a_newcomer_that_is_told_loads_nothing_again_and_one_that_is_not_does(stage, tmp_path):
+def test_a_joining_controller_with_a_source_causes_no_reloads(stage, tmp_path):
     fleet = [stage.invoker(keep_alive=20_000.0) for _ in range(4)]
     invokers = [one.name for one in fleet]
-    first = teach(stage, tmp_path / "first", invokers)
-    before = loads(stage, *fleet)
+    first = start_controller_with_loaded_models(stage, tmp_path / "first", invokers)
+    before = count_loads(stage, *fleet)
     (tmp_path / "told").mkdir()
-    second = stage.controller(tmp_path / "told", invokers, learns(first))
-    assert settle(stage, second, 12) == 12
-    ask_all(second)
-    assert loads(stage, *fleet) == before == 12
+    second = stage.controller(tmp_path / "told", invokers, learning_settings(first))
+    assert wait_for_reported_claims(stage, second, 12) == 12
+    infer_each_model(second)
+    assert count_loads(stage, *fleet) == before == 12
     record = stage.call(lambda: second.door.exchange.newcomer.sources[f"127.0.0.1:{first.port}"].record)
     assert (record.right, record.wrong) == (12, 0)
     (tmp_path / "third").mkdir()
-    third = stage.controller(tmp_path / "third", invokers, learns(second))
-    assert settle(stage, third, 12) == 12, "its own answers by now"
+    third = stage.controller(tmp_path / "third", invokers, learning_settings(second))
+    assert wait_for_reported_claims(stage, third, 12) == 12, "claims from its own responses"
     assert counts(stage, first).module_faults == counts(stage, second).module_faults == 0
 
 
-class Lying:
-    """A source that claims that everything stands everywhere, or says what a test wants said."""
+class FakeSource:
+    """A source whose pages are answered by a function of the test."""
 
     def __init__(self, stage, answer):
-        self.asked = 0
+        self.request_count = 0
 
         def page(call, data):
-            self.asked += 1
+            self.request_count += 1
             answer(call)
 
         async def start():
@@ -370,75 +385,75 @@
         self.port = stage.run(start())
 
 
-def says(found, more=False):
+def answer_with(page, more=False):
     def answer(call):
-        call.send(platform.PageReply(page=found, more=more).SerializeToString())
+        call.send(platform.PageReply(page=page, more=more).SerializeToString())
         call.finish(Status.OK)
 
     return answer
 
 
-def test_a_liar_costs_a_few_loads_elsewhere_and_no_inference(stage, tmp_path):
+def test_a_lying_source_costs_a_few_loads_and_no_inference(stage, tmp_path):
     fleet = [stage.invoker() for _ in range(4)]
     lies = encode([Row(one.name, "", f"m{n}", 4, 50, 0.0) for n in range(40) for one in fleet])
-    liar = Lying(stage, says(lies))
-    daemon = stage.controller(tmp_path, [one.name for one in fleet], learns(liar))
-    settle(stage, daemon, 60)
-    ask_all(daemon, 40)
+    liar = FakeSource(stage, answer_with(lies))
+    daemon = stage.controller(tmp_path, [one.name for one in fleet], learning_settings(liar))
+    wait_for_reported_claims(stage, daemon, 60)
+    infer_each_model(daemon, 40)
     tally = counts(stage, daemon)
-    assert tally.returned == 40 and loads(stage, *fleet) <= 44
+    assert tally.returned == 40 and count_loads(stage, *fleet) <= 44
     assert stage.call(lambda: daemon.door.exchange.taken_back) > 20
     source = stage.call(lambda: daemon.door.exchange.newcomer.sources[f"127.0.0.1:{liar.port}"])
-    assert source.why == "what it told proved wrong" and source.record.wrong == 5
+    assert source.why == "its claims proved wrong" and source.record.wrong == 5
 
 
 @pytest.mark.parametrize(
     "answer",
     [
         lambda call: None,
-        says(b"garbage"),
-        says(b""),
+        answer_with(b"garbage"),
+        answer_with(b""),
         lambda call: call.finish(Status.OK),
         lambda call: call.wire.end("dies", at_once=True),
-        says(encode([Row("nowhere:1", "1", "m0", 1, 1, 0.0)]), True),
+        answer_with(encode([Row("nowhere:1", "1", "m0", 1, 1, 0.0)]), True),
         lambda call: call.send(bytes(4 * 2**20)),
     ],
     ids=["never answers", "garbage", "an empty page", "no message", "dies mid-page", "strangers without end", "huge"],
 )
 def test_no_source_delays_or_breaks_the_first_inference(stage, tmp_path, answer):
-    standin, source = stage.invoker(), Lying(stage, answer)
-    daemon = stage.controller(tmp_path, [standin.name], learns(source))
-    begun = time.monotonic()
-    ask_all(daemon, 3)
-    assert time.monotonic() - begun < 1.0 and counts(stage, daemon).returned == 3
+    standin, source = stage.invoker(), FakeSource(stage, answer)
+    daemon = stage.controller(tmp_path, [standin.name], learning_settings(source))
+    started_at = time.monotonic()
+    infer_each_model(daemon, 3)
+    assert time.monotonic() - started_at < 1.0 and counts(stage, daemon).returned == 3
     time.sleep(0.2)
-    assert 1 <= source.asked <= 110 and counts(stage, daemon).module_faults == 0
+    assert 1 <= source.request_count <= 110 and counts(stage, daemon).module_faults == 0
 
 
-def test_a_lone_controller_restarts_warm_from_its_snapshot_and_refuses_a_bad_one(stage, tmp_path):
+def test_a_single_controller_restarts_warm_from_its_snapshot_and_rejects_a_truncated_one(stage, tmp_path):
     fleet = [stage.invoker(keep_alive=20_000.0) for _ in range(3)]
     invokers, file = [one.name for one in fleet], tmp_path / "known.snap"
-    more = LEARNS.format(f'snapshot "{file}"')
+    more = LEARNING_SETTINGS.format(f'snapshot "{file}"')
     (tmp_path / "a").mkdir()
     first = stage.controller(tmp_path / "a", invokers, more)
-    ask_all(first)
+    infer_each_model(first)
     stage.run(first.stop(1000))
-    before = loads(stage, *fleet)
+    before = count_loads(stage, *fleet)
     assert len(decode(file.read_bytes())[0]) == 12
     (tmp_path / "b").mkdir()
     second = stage.controller(tmp_path / "b", invokers, more)
-    assert settle(stage, second, 12) == 12
-    ask_all(second)
-    assert loads(stage, *fleet) == before
+    assert wait_for_reported_claims(stage, second, 12) == 12
+    infer_each_model(second)
+    assert count_loads(stage, *fleet) == before
     stage.run(second.stop(1000))
     file.write_bytes(file.read_bytes()[:-7])
     (tmp_path / "c").mkdir()
     third = stage.controller(tmp_path / "c", invokers, more)
-    ask_all(third)
+    infer_each_model(third)
     assert (tmp_path / "known.snap.refused").exists() and counts(stage, third).returned == 12
 
 
-def test_all_controllers_restart_at_once_and_each_is_warm_from_its_own_snapshot(stage, tmp_path):
+def test_controllers_that_all_restart_at_once_are_warm_from_their_own_snapshots(stage, tmp_path):
     fleet = [stage.invoker(keep_alive=20_000.0) for _ in range(3)]
     invokers = [one.name for one in fleet]
 
@@ -447,85 +462,90 @@
         for n in range(3):
             (tmp_path / f"{round}{n}").mkdir()
             sources = "; ".join(f'source "127.0.0.1:{one.port}"' for one in at) or 'within "5s"'
-            more = LEARNS.format(f'{sources}; snapshot "{tmp_path / f"{n}.snap"}"')
+            more = LEARNING_SETTINGS.format(f'{sources}; snapshot "{tmp_path / f"{n}.snap"}"')
             daemons.append(stage.controller(tmp_path / f"{round}{n}", invokers, more))
         return daemons
 
     before = begin("a")
     for daemon in before:
-        ask_all(daemon)
+        infer_each_model(daemon)
     for daemon in before:
         stage.run(daemon.stop(1000))
-    known = loads(stage, *fleet)
-    # Sources that are gone with the rest: the snapshots are all there is.
+    loads_before = count_loads(stage, *fleet)
+    # All sources are down, so only the snapshots are left.
     after = begin("b", before)
-    assert [settle(stage, daemon, 12) for daemon in after] == [12, 12, 12]
+    assert [wait_for_reported_claims(stage, daemon, 12) for daemon in after] == [12, 12, 12]
     for daemon in after:
-        ask_all(daemon)
-    assert loads(stage, *fleet) == known
+        infer_each_model(daemon)
+    assert count_loads(stage, *fleet) == loads_before
     assert all(counts(stage, daemon).returned == 12 for daemon in after)
 
 
-def test_an_invoker_told_as_warm_gets_nothing_if_the_roster_lacks_it_or_says_it_drains(stage, tmp_path):
+def test_an_invoker_claimed_warm_gets_no_forward_if_it_is_unlisted_or_draining(stage, tmp_path):
     fleet = [stage.invoker(keep_alive=20_000.0) for _ in range(4)]
     invokers = [one.name for one in fleet]
-    first = teach(stage, tmp_path / "first", invokers)
-    # Names, and so places, hang on free ports: the one that drains and the one left out are those that hold most.
-    most, next_most, *rest = sorted(fleet, key=lambda one: -one.worker.tally.ran)
-    fleet = [most, *rest, next_most]
+    first = start_controller_with_loaded_models(stage, tmp_path / "first", invokers)
+    # Placement depends on the invoker names, which contain random ports. The draining and the unlisted invoker must be
+    # the two with the most inferences, so that both have loaded copies.
+    busiest, second_busiest, *rest = sorted(fleet, key=lambda one: -one.worker.tally.ran)
+    fleet = [busiest, *rest, second_busiest]
     invokers, ran = [one.name for one in fleet], [one.worker.tally.ran for one in fleet]
     assert ran[0] and ran[3]
     (tmp_path / "told").mkdir()
-    second = stage.controller(tmp_path / "told", invokers[:3], learns(first))
-    assert settle(stage, second, sum(ran[:3])) == sum(ran[:3])
-    # A grace must not let it have anything new either: the file says so after the claims were taken in.
+    second = stage.controller(tmp_path / "told", invokers[:3], learning_settings(first))
+    assert wait_for_reported_claims(stage, second, sum(ran[:3])) == sum(ran[:3])
+    # Drain grace must not allow new forwards either: the file marks the invoker as draining after the claims arrived.
     (tmp_path / "told" / "invokers.kdl").write_text(
         f'invoker "{invokers[0]}" draining=#true\ninvoker "{invokers[1]}"\ninvoker "{invokers[2]}"\n'
     )
     wait_until(lambda: len(stage.call(lambda: second.door.gateway.module.workers)) <= 2, 5.0)
-    ask_all(second)
+    infer_each_model(second)
     assert counts(stage, second).returned == 12
     now = [one.worker.tally.ran for one in fleet]
     assert (now[0], now[3]) == (ran[0], ran[3])
 
 
-def test_where_the_settings_say_nothing_of_it_nothing_is_asked_or_answered(stage, tmp_path):
+def test_without_learning_settings_nothing_is_requested_or_answered(stage, tmp_path):
     standin = stage.invoker()
     daemon = stage.controller(tmp_path, [standin.name])
-    other = Lying(stage, says(encode([])))
+    other = FakeSource(stage, answer_with(encode([])))
     (tmp_path / "b").mkdir()
-    asks = stage.controller(tmp_path / "b", [standin.name], learns(daemon))
+    requesting = stage.controller(tmp_path / "b", [standin.name], learning_settings(daemon))
     time.sleep(0.3)
-    sources = stage.call(lambda: asks.door.exchange.newcomer.sources)
+    sources = stage.call(lambda: requesting.door.exchange.newcomer.sources)
     assert [source.done for source in sources.values()] == [True] and "UNIMPLEMENTED" in str(sources)
-    assert other.asked == 0 and daemon.door.exchange is None
+    assert other.request_count == 0 and daemon.door.exchange is None
 
 
-def grouped(number, *seeds) -> str:
+def group_settings(number, *seeds) -> str:
     named = "".join(f'; seed "127.0.0.1:{one.port}"' for one in seeds)
     return f'\ncontroller number={number} of=4\ngroup "g" mark="m" {{ period "200ms"{named} }}\n'
 
 
-def test_a_newcomer_finds_sources_through_the_group_and_notices_who_dies(stage, tmp_path):
+def test_a_joining_controller_finds_sources_through_the_group_and_detects_a_dead_member(stage, tmp_path):
     fleet = [stage.invoker(keep_alive=20_000.0) for _ in range(3)]
     invokers, group = [one.name for one in fleet], []
     for n in range(3):
         (tmp_path / f"g{n}").mkdir()
         group.append(
             stage.controller(
-                tmp_path / f"g{n}", invokers, learns(*group[:1], more="; members true") + grouped(n, *group[:1])
+                tmp_path / f"g{n}",
+                invokers,
+                learning_settings(*group[:1], more="; members true") + group_settings(n, *group[:1]),
             )
         )
-    ask_all(group[1])
-    before = loads(stage, *fleet)
+    infer_each_model(group[1])
+    before = count_loads(stage, *fleet)
     (tmp_path / "new").mkdir()
-    # Rows for others are made at most once a second, and these were asked when they knew nothing.
+    # Rows for pages are rebuilt at most once per second, and the members were asked before they had any beliefs.
     time.sleep(1.1)
-    # Told of the first one only, which itself knows nothing of copies.
-    new = stage.controller(tmp_path / "new", invokers, learns(group[0], more="; members true") + grouped(3, group[0]))
-    assert settle(stage, new, 12, 5.0) == 12
-    ask_all(new)
-    assert loads(stage, *fleet) == before
+    # Its only configured source is the first member, which knows no copies itself.
+    new = stage.controller(
+        tmp_path / "new", invokers, learning_settings(group[0], more="; members true") + group_settings(3, group[0])
+    )
+    assert wait_for_reported_claims(stage, new, 12, 5.0) == 12
+    infer_each_model(new)
+    assert count_loads(stage, *fleet) == before
     stage.call(group[2].close)
     gone = f"127.0.0.1:{group[2].port}"
 
