--- a/sprucespool/wire/__init__.py
+++ b/sprucespool/wire/__init__.py
@@ -1,5 +1,5 @@
-"""The messages on the wires: the Open Inference Protocol and the project's own `sprucespool.v1`.
+"""The messages on the wire: the Open Inference Protocol and this project's own `sprucespool.v1`.
 
-`*_pb2` files are generated from `proto/` by `make proto`. A controller itself reads of an inference only what `peek`
-finds; tensors stay bytes.
+`*_pb2` files are generated from `proto/` by `make proto`. A controller only reads those fields of an inference request
+that `peek` decodes; tensors stay bytes.
 """
--- a/sprucespool/wire/names.py
+++ b/sprucespool/wire/names.py
@@ -1,4 +1,4 @@
-"""Paths of methods, names of parameters and of metadata, as they stand on the wire."""
+"""Method paths and the names of parameters and metadata, exactly as sent on the wire."""
 
 INFERENCE = "/inference.GRPCInferenceService/"
 MODEL_INFER = INFERENCE + "ModelInfer"
@@ -22,7 +22,7 @@
 MEMBERSHIP_DRAIN_ZONE = "/sprucespool.v1.Membership/DrainZone"
 PEERS_TELL = "/sprucespool.v1.Peers/Tell"
 
-# Request parameters; each may also come as metadata, with dashes and the prefix below.
+# Request parameters; each may also be sent as metadata, with dashes instead of underscores and the prefix below.
 MODEL_GROUP, TENANT, COST, MEMORY, LANES, LOAD_TIME, WRITE = (
     "model_group",
     "tenant",
@@ -35,7 +35,8 @@
 PREFIX = "spruce-"
 COPIES = "copies"
 
-# Trailing metadata of an invoker, all of it optional: its process, how long that runs, whether it drains.
+# Trailing metadata of an invoker, all optional: identity of its process, how long that has been running, whether it is
+# draining.
 BOOT, AGE, DRAINING = "spruce-boot", "spruce-age-ms", "spruce-draining"
 FOUND, SAME_MODEL, LOAD_FAILED, REPORT, STANDING = (
     "spruce-found",
--- a/sprucespool/wire/outcomes.py
+++ b/sprucespool/wire/outcomes.py
@@ -1,4 +1,4 @@
-"""One table of what statuses mean, towards invokers and towards clients (docs/operate/running.md shows it)."""
+"""What gRPC statuses mean, from invokers and to clients, in one table (shown in docs/operate/running.md)."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from sprucespool.grpc.status import Metadata, Status
 from sprucespool.wire import names
 
-FOUND = {found.value.replace(" ", "-"): found for found in it.Found}
+FOUND_BY_TRAILER = {found.value.replace(" ", "-"): found for found in it.Found}
 
 
 def of_answer(status: Status, messages: int) -> it.Outcome:
-    """What an invoker's status says of a forward. A status that proves not run does so only where no result came
-    before it: one that ran and then said "full" has run."""
+    """The outcome of a forward by the invoker's status. A status proves that an inference did not run only if no result
+    was received before it: an invoker that sent a result and then reports "full" did run it."""
     if status is Status.OK:
         return it.Outcome.RETURNED if messages else it.Outcome.ERROR
     if not messages and status is Status.NOT_FOUND:
@@ -24,22 +24,22 @@
 
 
 def of_reset(never_ran: bool, messages: int) -> it.Outcome:
-    """A refused stream, or one above the last of a GOAWAY, was never looked at (RFC 9113, 6.8 and 8.7)."""
+    """A refused stream, or one above the last stream of a GOAWAY, was never processed (RFC 9113, 6.8 and 8.7)."""
     return it.Outcome.FULL if never_ran and not messages else it.Outcome.RESET
 
 
 def read_found(trailers: Metadata) -> it.Found:
-    return FOUND.get(trailers.get(names.FOUND, ""), it.Found.UNTOLD)
+    return FOUND_BY_TRAILER.get(trailers.get(names.FOUND, ""), it.Found.UNTOLD)
 
 
 def read_int(trailers: Metadata, name: str) -> int | None:
-    """A number an invoker told; None where it told none or nonsense."""
+    """A whole number in the metadata; None if it is missing or malformed."""
     text = trailers.get(name, "")
     return int(text) if text.isascii() and text.isdigit() and len(text) < 10 else None
 
 
 def read_float(trailers: Metadata, name: str) -> float | None:
-    """A figure of 0 or more that an invoker told; None where it told none or nonsense."""
+    """A number of at least 0 in the metadata; None if it is missing or malformed."""
     try:
         value = float(trailers.get(name, ""))
     except ValueError:
@@ -48,30 +48,31 @@
 
 
 def read_controller(metadata: Metadata) -> int:
-    """The number that a controller gives with its calls; -1 where there is none."""
-    told = read_int(metadata, names.CONTROLLER)
-    return -1 if told is None else told
+    """The number that a controller sends with its calls; -1 if there is none."""
+    number = read_int(metadata, names.CONTROLLER)
+    return -1 if number is None else number
 
 
 def read_report(trailers: Metadata) -> dict[str, float]:
-    """`name=figure,...`; what is no figure is passed over."""
-    figures = {}
-    for part in trailers.get(names.REPORT, "").split(","):
-        name, _, figure = part.partition("=")
+    """Parses `name=value,...`; entries without a number are ignored."""
+    values = {}
+    for entry in trailers.get(names.REPORT, "").split(","):
+        name, _, text = entry.partition("=")
         try:
-            value = float(figure)
+            value = float(text)
         except ValueError:
             continue
         if name and abs(value) < 1e12:
-            figures[name] = value
-    return figures
+            values[name] = value
+    return values
 
 
 def pushback_metadata(retry_after: float) -> Metadata:
     return {names.PUSHBACK: str(max(0, round(retry_after)))}
 
 
-# Towards clients. A failure must never be a code that clients repeat by habit (UNAVAILABLE): it promises nothing.
+# Statuses sent to clients. A failure must never use UNAVAILABLE, which clients retry by default: it does not promise
+# that the inference did not run.
 SHED, FAILED, FAILED_LATE, MALFORMED = (
     Status.RESOURCE_EXHAUSTED,
     Status.UNKNOWN,
--- a/sprucespool/wire/peek.py
+++ b/sprucespool/wire/peek.py
@@ -1,6 +1,6 @@
-"""Reads of an encoded `ModelInferRequest` only what routing needs, without a copy of its tensors.
+"""Decodes only the fields of an encoded `ModelInferRequest` that routing needs, without copying its tensors.
 
-A request of megabytes is walked field by field (protobuf encoding, "Message Structure"); tensors are stepped over.
+A request of megabytes is scanned field by field (protobuf encoding, "Message Structure"), and tensors are skipped.
 """
 
 from __future__ import annotations
@@ -11,18 +11,18 @@
 
 VARINT, FIXED64, LENGTH, FIXED32 = 0, 1, 2, 5
 MODEL_NAME, MODEL_VERSION, ID, PARAMETERS = 1, 2, 3, 4
-MOST_PARAMETERS, LONGEST_NAME = 64, 512
+MAX_PARAMETERS, MAX_TEXT_BYTES = 64, 512
 
 Parameter = bool | int | float | str
 
 
 class MalformedRequest(ValueError):
-    """No such message; the text names the place."""
+    """The bytes are not a valid request; the text names the position."""
 
 
 @dataclass(slots=True)
 class RequestFields:
-    """What was read; `parameters` are those of the request, not of its tensors."""
+    """The decoded fields; `parameters` are those of the request, not of its tensors."""
 
     model: str = ""
     version: str = ""
@@ -46,8 +46,8 @@
     raise MalformedRequest(f"expected a varint that ends at byte {at}")
 
 
-def walk(data: bytes, at: int, end: int) -> Iterator[tuple[int, int, int, int]]:
-    """(field, wire type, begin, end) of each field; for a varint `begin` is its value."""
+def scan_fields(data: bytes, at: int, end: int) -> Iterator[tuple[int, int, int, int]]:
+    """Yields (field number, wire type, begin, end) of each field; for a varint, `begin` is its value."""
     while at < end:
         key, at = _varint(data, at, end)
         number, kind = key >> 3, key & 7
@@ -65,12 +65,12 @@
         else:
             raise MalformedRequest(f"expected a field, got wire type {kind} before byte {at}")
         if number == 0 or at > end:
-            raise MalformedRequest(f"a field that is cut off or has no number before byte {min(at, end)}")
+            raise MalformedRequest(f"a field is truncated or has no number before byte {min(at, end)}")
 
 
 def _text(data: bytes, begin: int, end: int) -> str:
-    if end > len(data) or end - begin > LONGEST_NAME:
-        raise MalformedRequest(f"a text of {end - begin} bytes at {begin}, {LONGEST_NAME} are allowed")
+    if end > len(data) or end - begin > MAX_TEXT_BYTES:
+        raise MalformedRequest(f"a text of {end - begin} bytes at {begin}, {MAX_TEXT_BYTES} are allowed")
     try:
         return data[begin:end].decode()
     except UnicodeDecodeError:
@@ -80,54 +80,54 @@
 def _parameter(data: bytes, begin: int, end: int) -> tuple[str, Parameter | None]:
     name = ""
     value: Parameter | None = None
-    for number, kind, at, stop in walk(data, begin, end):
+    for number, kind, at, stop in scan_fields(data, begin, end):
         if number == 1 and kind == LENGTH:
             name = _text(data, at, stop)
         elif number == 2 and kind == LENGTH:
-            for choice, how, place, last in walk(data, at, stop):
-                if how == VARINT and choice == 1:
-                    value = bool(place)
-                elif how == VARINT and choice == 2:
-                    value = place - (1 << 64) if place >> 63 else place
-                elif how == VARINT and choice == 5:
-                    value = place
-                elif how == LENGTH and choice == 3:
-                    value = _text(data, place, last)
-                elif how == FIXED64 and choice == 4:
-                    value = struct.unpack_from("<d", data, place)[0]
+            for choice, choice_kind, choice_at, choice_stop in scan_fields(data, at, stop):
+                if choice_kind == VARINT and choice == 1:
+                    value = bool(choice_at)
+                elif choice_kind == VARINT and choice == 2:
+                    value = choice_at - (1 << 64) if choice_at >> 63 else choice_at
+                elif choice_kind == VARINT and choice == 5:
+                    value = choice_at
+                elif choice_kind == LENGTH and choice == 3:
+                    value = _text(data, choice_at, choice_stop)
+                elif choice_kind == FIXED64 and choice == 4:
+                    value = struct.unpack_from("<d", data, choice_at)[0]
     return name, value
 
 
 def peek_request(data: bytes) -> RequestFields:
-    """Raises MalformedRequest on what is no such message."""
-    found, seen = RequestFields(), 0
+    """Decodes the fields for routing. Raises MalformedRequest if `data` is not a valid request."""
+    fields, parameter_count = RequestFields(), 0
     try:
-        for number, kind, at, stop in walk(data, 0, len(data)):
+        for number, kind, at, stop in scan_fields(data, 0, len(data)):
             if kind != LENGTH:
                 continue
             if number == MODEL_NAME:
-                found.model = _text(data, at, stop)
+                fields.model = _text(data, at, stop)
             elif number == MODEL_VERSION:
-                found.version = _text(data, at, stop)
+                fields.version = _text(data, at, stop)
             elif number == ID:
-                found.id = _text(data, at, stop)
+                fields.id = _text(data, at, stop)
             elif number == PARAMETERS:
-                seen += 1
-                if seen > MOST_PARAMETERS:
-                    raise MalformedRequest(f"more than {MOST_PARAMETERS} parameters")
+                parameter_count += 1
+                if parameter_count > MAX_PARAMETERS:
+                    raise MalformedRequest(f"more than {MAX_PARAMETERS} parameters")
                 name, value = _parameter(data, at, stop)
                 if value is not None:
-                    found.parameters[name] = value
+                    fields.parameters[name] = value
     except (IndexError, struct.error):
-        raise MalformedRequest("a message that is cut off") from None
-    return found
+        raise MalformedRequest("the message is truncated") from None
+    return fields
 
 
 def wrap_stream_result(result: bytes) -> bytes:
-    """An encoded `ModelInferResponse` as the one result of a `ModelStreamInferResponse`."""
-    size, head = len(result), bytearray(b"\x12")
+    """Wraps an encoded `ModelInferResponse` as the result of a `ModelStreamInferResponse`."""
+    size, header = len(result), bytearray(b"\x12")
     while size >= 0x80:
-        head.append(size & 0x7F | 0x80)
+        header.append(size & 0x7F | 0x80)
         size >>= 7
-    head.append(size)
-    return bytes(head) + result
+    header.append(size)
+    return bytes(header) + result
