--- a/sprucespool/grpc/__init__.py
+++ b/sprucespool/grpc/__init__.py
@@ -1,4 +1,4 @@
-"""gRPC over HTTP/2 without I/O: bytes in, events and bytes out, for either end of a connection."""
+"""gRPC over HTTP/2 without I/O, for clients and servers: takes received bytes, gives events and bytes to send."""
 
 from sprucespool.grpc.client import ClientLink
 from sprucespool.grpc.server import ServerLink
--- a/sprucespool/grpc/client.py
+++ b/sprucespool/grpc/client.py
@@ -1,11 +1,11 @@
-"""The calling end of a connection."""
+"""The client end of a connection."""
 
 from __future__ import annotations
 
 from sprucespool.grpc.events import Answered
 from sprucespool.grpc.link import Link
 from sprucespool.grpc.status import (
-    FROM_HTTP,
+    STATUS_FROM_HTTP,
     Limits,
     Metadata,
     Status,
@@ -18,20 +18,20 @@
 
 
 class ClientLink(Link):
-    """Begins calls and hears their answers."""
+    """Starts calls and receives their responses."""
 
-    def __init__(self, limits: Limits, ledger: ReceiveBudget | None = None):
-        super().__init__(limits, False, ledger)
+    def __init__(self, limits: Limits, budget: ReceiveBudget | None = None):
+        super().__init__(limits, False, budget)
 
     @property
     def room(self) -> int:
-        """Streams that the peer would take now."""
+        """How many more streams the peer accepts now."""
         if self.dead or self.leaving or self.peer_leaving or self.h2.highest_outbound_stream_id > 2**31 - 1000:
             return 0
         return min(self.limits.streams, self.h2.remote_settings.max_concurrent_streams) - len(self.streams)
 
     def call(self, path: str, authority: str, metadata: Metadata | None = None, timeout: float | None = None) -> int:
-        """Begin a call; `timeout` in ms."""
+        """Starts a call and returns its stream id; `timeout` is in ms."""
         number = self.h2.get_next_available_stream_id()
         headers = [
             (b":method", b"POST"),
@@ -80,15 +80,15 @@
         stream = self.streams.get(number)
         if stream is None:
             return
-        found = stream.headers or {}
-        told, message = found.get("grpc-status"), read_message(found.get("grpc-message", ""))
-        if told is not None:
-            known = told.isascii() and told.isdigit() and int(told) in Status._value2member_map_
-            status = Status(int(told)) if known else Status.UNKNOWN
+        headers = stream.headers or {}
+        status_text, message = headers.get("grpc-status"), read_message(headers.get("grpc-message", ""))
+        if status_text is not None:
+            known = status_text.isascii() and status_text.isdigit() and int(status_text) in Status._value2member_map_
+            status = Status(int(status_text)) if known else Status.UNKNOWN
         else:
-            status = FROM_HTTP.get(stream.status, Status.UNKNOWN)
-            message = message or f"an end without grpc-status, HTTP status {stream.status or 'none'}"
-        if stream.part:
-            status, message = Status.INTERNAL, "a message that is cut off"
+            status = STATUS_FROM_HTTP.get(stream.status, Status.UNKNOWN)
+            message = message or f"the stream ended without grpc-status, HTTP status {stream.status or 'none'}"
+        if stream.partial:
+            status, message = Status.INTERNAL, "the last message is truncated"
         self._close(number)
-        events.append(Answered(number, status, message, found, stream.messages))
+        events.append(Answered(number, status, message, headers, stream.messages))
--- a/sprucespool/grpc/events.py
+++ b/sprucespool/grpc/events.py
@@ -1,4 +1,4 @@
-"""What a connection tells its user: events of calls and of the connection."""
+"""Events of calls and of the connection, for the user of a connection."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True)
 class CallStarted:
-    """Server: a call; `timeout` in ms or None."""
+    """Server: the client started a call; `timeout` is in ms or None."""
 
     stream: int
     path: str
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class Message:
-    """`data` is one whole message; tell `consumed(stream, size)` when it left for good."""
+    """`data` is one complete message; call `consumed(stream, size)` once it is no longer held."""
 
     stream: int
     data: bytes
@@ -28,14 +28,14 @@
 
 @dataclass(slots=True)
 class HalfClosed:
-    """Server: the client will send no more."""
+    """Server: the client will send no more messages."""
 
     stream: int
 
 
 @dataclass(slots=True)
 class Answered:
-    """Client: the call's status; the only end that an answer of the server makes."""
+    """Client: the final status of the call; every call that the server answers ends with this event."""
 
     stream: int
     status: Status
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class Reset:
-    """The peer gave the stream up. `never_ran`: it says that nothing of it was looked at."""
+    """The peer reset the stream. `never_ran`: the peer guarantees that it did not process the call."""
 
     stream: int
     code: int
@@ -55,7 +55,7 @@
 
 @dataclass(slots=True)
 class GoingAway:
-    """The peer takes no new streams here."""
+    """The peer accepts no new streams on this connection."""
 
     code: int
     why: str
@@ -63,12 +63,12 @@
 
 @dataclass(slots=True)
 class PingAcknowledged:
-    """A ping of this end was answered."""
+    """The peer acknowledged a ping of this end."""
 
 
 @dataclass(slots=True)
 class Drained:
-    """What waited to be written on the stream is below the low mark again."""
+    """The data waiting to be sent on the stream is at or below the low mark again."""
 
     stream: int
 
--- a/sprucespool/grpc/link.py
+++ b/sprucespool/grpc/link.py
@@ -1,9 +1,9 @@
 """One HTTP/2 connection that carries gRPC calls, without I/O.
 
-h2 keeps the frame and stream states; around it stand what it leaves open: messages cut from data, flow control that
-follows what the user consumed, graceful GOAWAY in both directions (h2 ends a connection with the first GOAWAY, while
-RFC 9113 section 6.8 lets the streams below it finish, so those frames are handled here), and the bounds against peers
-that flood. `receive` takes bytes and gives events; `outgoing` gives the bytes to write.
+h2 keeps the state of frames and streams. This module adds what h2 lacks: splitting data into messages, flow control
+that follows what the user consumed, graceful GOAWAY in both directions (h2 ends a connection with the first GOAWAY,
+while RFC 9113 section 6.8 lets the streams below it finish, so those frames are handled here), and limits against peers
+that flood. `receive` takes bytes and returns events; `outgoing` returns the bytes to send.
 """
 
 from __future__ import annotations
@@ -21,23 +21,23 @@
 from sprucespool.grpc.status import Limits, LinkError
 from sprucespool.grpc.streams import Flow, RateBucket, ReceiveBudget, Stream
 
-FRAME_HEAD, LARGEST_FRAME = 9, 16384
-# Half-received bytes that any connection may hold, however crowded the server.
-FAIR_PART = 65536
+FRAME_HEADER_BYTES, MAX_FRAME_BYTES = 9, 16384
+# Bytes of partial messages that every connection may hold, even when the receive budget is exceeded.
+GUARANTEED_PARTIAL_BYTES = 65536
 DATA, RST_STREAM, SETTINGS, PING, GOAWAY = 0, 3, 4, 6, 7
 PREFACE = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
 Codes = h2.errors.ErrorCodes
 
 
 class Link:
-    """What both ends share."""
+    """The parts of a connection that client and server share."""
 
     more = False
 
-    low_mark = 16384
+    low_mark_bytes = 16384
 
-    def __init__(self, limits: Limits, server: bool, ledger: ReceiveBudget | None = None):
-        self.limits, self.server, self.ledger = limits, server, ledger or ReceiveBudget(4 * limits.unsent)
+    def __init__(self, limits: Limits, server: bool, budget: ReceiveBudget | None = None):
+        self.limits, self.server, self.budget = limits, server, budget or ReceiveBudget(4 * limits.unsent)
         self.h2 = h2.connection.H2Connection(
             h2.config.H2Configuration(
                 client_side=not server,
@@ -48,28 +48,31 @@
             )
         )
         codes = h2.settings.SettingCodes
-        told = {
+        advertised = {
             codes.MAX_CONCURRENT_STREAMS: limits.streams,
             codes.INITIAL_WINDOW_SIZE: limits.stream_window,
             codes.MAX_HEADER_LIST_SIZE: limits.header_list,
-            codes.MAX_FRAME_SIZE: LARGEST_FRAME,
+            codes.MAX_FRAME_SIZE: MAX_FRAME_BYTES,
             codes.ENABLE_PUSH: 0,
         }
-        # h2 would end the connection over one stream or header too many; only the call is refused here, so h2
-        # works by wider bounds than the peer is told.
+        # h2 would end the connection when the peer exceeds the limit of streams or headers. Only the call is refused
+        # here, so h2 gets wider limits than those advertised to the peer.
         self.h2.local_settings = h2.settings.Settings(
             client=not server,
             initial_values={
-                **told,
+                **advertised,
                 codes.MAX_CONCURRENT_STREAMS: 2**31 - 1,
-                codes.MAX_HEADER_LIST_SIZE: limits.header_cut,
+                codes.MAX_HEADER_LIST_SIZE: limits.header_list_hard_limit,
             },
         )
         self.h2.initiate_connection()
         self.h2.data_to_send()
-        self.h2.max_inbound_frame_size = LARGEST_FRAME
+        self.h2.max_inbound_frame_size = MAX_FRAME_BYTES
         frame = SettingsFrame(
-            0, settings={int(code): value for code, value in told.items() if not (server and code is codes.ENABLE_PUSH)}
+            0,
+            settings={
+                int(code): value for code, value in advertised.items() if not (server and code is codes.ENABLE_PUSH)
+            },
         )
         self._out: list[bytes] = [b"" if server else PREFACE, frame.serialize()]
         self.h2.increment_flow_control_window(limits.link_window - 65535)
@@ -79,45 +82,48 @@
         self.unsent = 0
         self.leaving, self.peer_leaving, self.dead = False, False, ""
         self.highest = 0
-        self._rest = b""
+        self._unparsed = b""
         self._preface = len(PREFACE) if server else 0
-        self._useless, self._resets = RateBucket(limits.useless_frames), RateBucket(limits.resets)
+        self._overhead_frames, self._resets = (
+            RateBucket(limits.overhead_frames_per_second),
+            RateBucket(limits.resets_per_second),
+        )
 
-    # Bytes in
+    # Receiving
 
     def receive(self, data: bytes | memoryview, now: float) -> list[Event]:
-        """Raises LinkError when the connection is to end; `outgoing` then still has the last words for the peer."""
+        """Raises LinkError when the connection must end; `outgoing` then still returns the GOAWAY for the peer."""
         events: list[Event] = []
-        buffered = self._rest + bytes(data) if self._rest else bytes(data)
+        buffered = self._unparsed + bytes(data) if self._unparsed else bytes(data)
         at = 0
         if self._preface:
             if not PREFACE.startswith(buffered[: self._preface]):
-                self._die(Codes.PROTOCOL_ERROR, "expected the HTTP/2 preface")
+                self._fail(Codes.PROTOCOL_ERROR, "expected the HTTP/2 preface")
             if len(buffered) < self._preface:
-                self._rest = buffered
+                self._unparsed = buffered
                 return events
             at, self._preface = self._preface, 0
             self.h2.receive_data(PREFACE)
         begin = at
-        while len(buffered) - at >= FRAME_HEAD:
+        while len(buffered) - at >= FRAME_HEADER_BYTES:
             size = int.from_bytes(buffered[at : at + 3], "big")
-            if size > LARGEST_FRAME:
-                self._die(Codes.FRAME_SIZE_ERROR, f"a frame of {size} bytes, {LARGEST_FRAME} are allowed")
-            end = at + FRAME_HEAD + size
+            if size > MAX_FRAME_BYTES:
+                self._fail(Codes.FRAME_SIZE_ERROR, f"a frame of {size} bytes, {MAX_FRAME_BYTES} are allowed")
+            end = at + FRAME_HEADER_BYTES + size
             if end > len(buffered):
                 break
             kind = buffered[at + 3]
             if kind == GOAWAY:
                 self._feed(buffered[begin:at], events, now)
-                self._go_away_came(buffered[at + FRAME_HEAD : end], events)
+                self._on_go_away(buffered[at + FRAME_HEADER_BYTES : end], events)
                 begin = end
             elif (
                 kind in (RST_STREAM, SETTINGS, PING) or kind == DATA and not size and not buffered[at + 4] & 1
-            ) and self._useless.spill(now):
-                self._die(Codes.ENHANCE_YOUR_CALM, "too many frames of no use")
+            ) and self._overhead_frames.add(now):
+                self._fail(Codes.ENHANCE_YOUR_CALM, "too many control or empty frames")
             at = end
         self._feed(buffered[begin:at], events, now)
-        self._rest = buffered[at:]
+        self._unparsed = buffered[at:]
         return events
 
     def _feed(self, data: bytes, events: list, now: float):
@@ -128,14 +134,14 @@
                 handler = HANDLERS.get(type(event))
                 if handler:
                     handler(self, event, events, now)
-        except h2.exceptions.ProtocolError as problem:
-            # h2 has put the GOAWAY with the reason into its own output.
-            self.dead = f"{type(problem).__name__}: {problem}"
+        except h2.exceptions.ProtocolError as error:
+            # h2 has already queued the GOAWAY with the reason in its own output.
+            self.dead = f"{type(error).__name__}: {error}"
             raise LinkError(self.dead) from None
-        except (ValueError, IndexError, KeyError) as problem:  # codec bugs on hostile input end this link only
-            self._die(Codes.PROTOCOL_ERROR, f"unreadable: {type(problem).__name__}: {problem}")
+        except (ValueError, IndexError, KeyError) as error:  # codec bugs on hostile input must only end this connection
+            self._fail(Codes.PROTOCOL_ERROR, f"unreadable: {type(error).__name__}: {error}")
 
-    def _die(self, code: Codes, why: str):
+    def _fail(self, code: Codes, why: str):
         self.dead = why
         self._out.append(
             GoAwayFrame(
@@ -144,9 +150,9 @@
         )
         raise LinkError(why)
 
-    def _go_away_came(self, body: bytes, events: list):
+    def _on_go_away(self, body: bytes, events: list):
         if len(body) < 8:
-            self._die(Codes.FRAME_SIZE_ERROR, "a GOAWAY of under 8 bytes")
+            self._fail(Codes.FRAME_SIZE_ERROR, "a GOAWAY of less than 8 bytes")
         last, code = int.from_bytes(body[:4], "big") & 0x7FFFFFFF, int.from_bytes(body[4:8], "big")
         self.peer_leaving = True
         events.append(GoingAway(code, body[8:208].decode("utf-8", "replace")))
@@ -161,66 +167,70 @@
         if stream is None or stream.answered or stream.refused:
             self.h2.acknowledge_received_data(size, event.stream_id) if size else None
             return
-        stream.part += event.data
-        stream.held += size
-        self.ledger.used += len(event.data)
-        if self.ledger.used > 2 * self.ledger.most and sum(len(one.part) for one in self.streams.values()) > FAIR_PART:
-            # Windows already granted to thousands of connections can still fill the memory: the greedy ones go.
-            self._die(Codes.ENHANCE_YOUR_CALM, "too many half-sent messages")
-        part, at = stream.part, 0
-        while len(part) - at >= 5:
-            length = int.from_bytes(part[at + 1 : at + 5], "big")
-            if part[at] or length > self.limits.message:
+        stream.partial += event.data
+        stream.unacknowledged += size
+        self.budget.used += len(event.data)
+        if (
+            self.budget.used > 2 * self.budget.max_bytes
+            and sum(len(other.partial) for other in self.streams.values()) > GUARANTEED_PARTIAL_BYTES
+        ):
+            # Windows already granted to thousands of connections can still exhaust memory, so connections that hold
+            # more than the guaranteed amount are ended.
+            self._fail(Codes.ENHANCE_YOUR_CALM, "too many half-sent messages")
+        partial, at = stream.partial, 0
+        while len(partial) - at >= 5:
+            length = int.from_bytes(partial[at + 1 : at + 5], "big")
+            if partial[at] or length > self.limits.message:
                 why = (
-                    "a compressed message without an encoding agreed"
-                    if part[at]
+                    "a compressed message without an agreed encoding"
+                    if partial[at]
                     else f"a message of {length} bytes, {self.limits.message} are allowed"
                 )
-                return self._bad_message(event.stream_id, stream, bool(part[at]), why, events)
-            if len(part) - at - 5 < length:
+                return self._bad_message(event.stream_id, stream, bool(partial[at]), why, events)
+            if len(partial) - at - 5 < length:
                 break
             stream.messages += 1
-            stream.owed += length + 5
-            # One message may straddle windows: its bytes go back when the user consumed it.
-            events.append(Message(event.stream_id, bytes(part[at + 5 : at + 5 + length]), length + 5))
+            stream.unconsumed += length + 5
+            # A message may span several windows; its bytes are returned to the window when the user has consumed it.
+            events.append(Message(event.stream_id, bytes(partial[at + 5 : at + 5 + length]), length + 5))
             at += 5 + length
         if at:
-            del part[:at]
-            self.ledger.used -= at
-        self._starves(event.stream_id, stream)
-        self._feed_starved()
-
-    def _starves(self, number: int, stream: Stream):
-        """The rest of a message larger than the window must be let in before there is a message to consume; where
-        whole ones wait to be consumed that is what holds the peer, rightly."""
-        if stream.part and stream.held and not stream.owed:
+            del partial[:at]
+            self.budget.used -= at
+        self._mark_starved(event.stream_id, stream)
+        self._extend_starved_windows()
+
+    def _mark_starved(self, number: int, stream: Stream):
+        """Marks a stream that needs more window to complete a message larger than the window. A stream with complete
+        messages that wait to be consumed is not marked: its peer is held back on purpose."""
+        if stream.partial and stream.unacknowledged and not stream.unconsumed:
             self.starved[number] = None
 
-    def _feed_starved(self):
-        """No more than the ledger has room for, or many cut-off messages together would fill the memory."""
-        while self.starved and self.ledger.used < self.ledger.most:
+    def _extend_starved_windows(self):
+        """Extends windows only within the receive budget; otherwise many partial messages could exhaust memory."""
+        while self.starved and self.budget.used < self.budget.max_bytes:
             number = next(iter(self.starved))
             del self.starved[number]
             stream = self.streams.get(number)
-            if stream is not None and stream.part and not stream.owed:
-                self._give_back(number, stream, min(stream.held, len(stream.part)))
+            if stream is not None and stream.partial and not stream.unconsumed:
+                self._return_to_window(number, stream, min(stream.unacknowledged, len(stream.partial)))
 
-    def _give_back(self, number: int, stream: Stream, size: int):
-        size = min(size, stream.held)
+    def _return_to_window(self, number: int, stream: Stream, size: int):
+        size = min(size, stream.unacknowledged)
         if size > 0 and not self.dead:
-            stream.held -= size
+            stream.unacknowledged -= size
             self.h2.acknowledge_received_data(size, number)
 
     def consumed(self, stream_id: int, size: int):
-        """The user is done with so many bytes of the stream: the peer may send as many more."""
+        """The user has consumed this many bytes of the stream; the peer may send as many again."""
         stream = self.streams.get(stream_id)
         if stream is None:
             return
-        stream.owed = max(0, stream.owed - size)
-        self._give_back(stream_id, stream, size)
-        self._starves(stream_id, stream)
+        stream.unconsumed = max(0, stream.unconsumed - size)
+        self._return_to_window(stream_id, stream, size)
+        self._mark_starved(stream_id, stream)
         if self.starved:
-            self._feed_starved()
+            self._extend_starved_windows()
 
     def _bad_message(self, number: int, stream: Stream, compressed: bool, why: str, events: list):
         raise NotImplementedError
@@ -230,8 +240,8 @@
             code = int(event.error_code)
             self._drop(event.stream_id)
             events.append(Reset(event.stream_id, code, code == Codes.REFUSED_STREAM))
-        if self.server and self._resets.spill(now):
-            self._die(Codes.ENHANCE_YOUR_CALM, "too many streams opened and reset")
+        if self.server and self._resets.add(now):
+            self._fail(Codes.ENHANCE_YOUR_CALM, "too many streams opened and reset")
 
     def _on_pong(self, event, events: list, now: float):
         events.append(PingAcknowledged())
@@ -240,31 +250,31 @@
         stream = self.streams.pop(number, None)
         if stream is not None:
             self.unsent -= stream.flow.size
-            self.ledger.used -= len(stream.part)
+            self.budget.used -= len(stream.partial)
             self.sending.pop(number, None)
             self.starved.pop(number, None)
-            if stream.held and not self.dead:
-                # The connection's window must not bleed out with streams that ended unread.
+            if stream.unacknowledged and not self.dead:
+                # Return the bytes, or streams that end unread would use up the connection's window.
                 try:
-                    self.h2.acknowledge_received_data(stream.held, number)
+                    self.h2.acknowledge_received_data(stream.unacknowledged, number)
                 except (h2.exceptions.ProtocolError, ValueError):
-                    self.h2.increment_flow_control_window(stream.held)
+                    self.h2.increment_flow_control_window(stream.unacknowledged)
 
     def forget(self):
-        """The connection is gone: what it held of the ledger goes back."""
-        self.ledger.used -= sum(len(stream.part) for stream in self.streams.values())
+        """The connection is closed: returns its bytes to the receive budget."""
+        self.budget.used -= sum(len(stream.partial) for stream in self.streams.values())
         self.streams.clear()
         self.sending.clear()
         self.starved.clear()
         self.unsent = 0
 
-    # Bytes out
+    # Sending
 
     def _send_headers(self, number: int, headers: list, end: bool = False):
         self.h2.send_headers(number, headers, end_stream=end)
 
     def send(self, number: int, message: bytes) -> int:
-        """Queue a message; gives what waits on the stream now. Unknown streams (reset a moment ago) are passed by."""
+        """Queues a message; returns the bytes waiting on the stream. Ignores unknown streams (perhaps just reset)."""
         stream = self.streams.get(number)
         if stream is None or stream.flow.end:
             return 0
@@ -283,26 +293,26 @@
         return self.streams[number].flow.size if number in self.streams else 0
 
     def outgoing(self, data_too: bool = True) -> tuple[bytes, list[Event]]:
-        """What is to be written now, and streams that drained. Without `data_too` only control frames leave."""
+        """Returns the bytes to send now and events of drained streams. Without `data_too`, only control frames."""
         drained: list[Event] = []
         if data_too and self.sending and not self.dead:
-            self._pump(drained)
+            self._send_queued(drained)
         self._out.append(self.h2.data_to_send())
         out = b"".join(self._out)
         self._out.clear()
         return out, drained
 
     def control_size(self) -> int:
-        """Bytes of frames other than DATA that are to be written."""
+        """Bytes of frames other than DATA that wait to be sent."""
         self._out.append(self.h2.data_to_send())
         return sum(map(len, self._out))
 
-    def _pump(self, drained: list[Event]):
-        """Round the streams, a frame each, so that no long answer holds up the others."""
-        turn = list(self.sending)
-        while turn:
-            again = []
-            for number in turn:
+    def _send_queued(self, drained: list[Event]):
+        """Sends one frame per stream in round-robin order, so that a long response does not delay the others."""
+        current_round = list(self.sending)
+        while current_round:
+            next_round = []
+            for number in current_round:
                 stream = self.streams[number]
                 flow = stream.flow
                 if flow.waiting:
@@ -310,68 +320,68 @@
                     if room <= 0:
                         continue
                     self._send_chunk(number, flow, room)
-                    if flow.marked and flow.size <= self.low_mark:
-                        flow.marked = False
+                    if flow.notify_drained and flow.size <= self.low_mark_bytes:
+                        flow.notify_drained = False
                         drained.append(Drained(number))
                 if flow.waiting:
-                    again.append(number)
+                    next_round.append(number)
                     continue
                 del self.sending[number]
                 if flow.trailers is not None:
                     self._send_headers(number, flow.trailers, end=True)
                     self._close(number)
-            turn = again
+            current_round = next_round
 
     def _close(self, number: int):
-        """The answer is whole. Where the client still sends, RFC 9113 section 8.1 has it told to stop."""
+        """The response is complete. A client that is still sending is told to stop (RFC 9113 section 8.1)."""
         self._drop(number)
-        still = self.h2.streams.get(number)
-        if still is not None and not still.closed:
+        h2_stream = self.h2.streams.get(number)
+        if h2_stream is not None and not h2_stream.closed:
             try:
                 self.h2.reset_stream(number, Codes.NO_ERROR)
             except h2.exceptions.ProtocolError:
-                pass  # closed by the peer a moment ago
+                pass  # the peer has just closed the stream
 
-    def sweep(self, patience: int) -> list[Event]:
-        """Called in even steps: streams of which the peer read nothing for so many of them are given up. Against
-        windows of zero held for ever and clients that never read, which would keep their answers in memory."""
-        lost: list[Event] = []
+    def sweep(self, max_idle_sweeps: int) -> list[Event]:
+        """Called at a fixed interval: resets streams from which the peer read nothing for so many sweeps. Otherwise
+        peers that keep a window of zero or never read would keep their responses in memory forever."""
+        resets: list[Event] = []
         for number in list(self.sending):
             flow = self.streams[number].flow
-            flow.still = flow.still + 1 if flow.size == flow.size_swept else 0
-            flow.size_swept = flow.size
-            if flow.still >= patience:
+            flow.idle_sweeps = flow.idle_sweeps + 1 if flow.size == flow.size_at_last_sweep else 0
+            flow.size_at_last_sweep = flow.size
+            if flow.idle_sweeps >= max_idle_sweeps:
                 self.reset(number, Codes.CANCEL)
-                lost.append(Reset(number, int(Codes.CANCEL), False))
-        return lost
+                resets.append(Reset(number, int(Codes.CANCEL), False))
+        return resets
 
     def _send_chunk(self, number: int, flow: Flow, room: int):
-        parts, size = [], 0
+        chunks, size = [], 0
         while flow.waiting and size < room:
             first = flow.waiting[0]
-            take = min(len(first), room - size)
-            parts.append(first[:take])
-            size += take
-            if take == len(first):
+            length = min(len(first), room - size)
+            chunks.append(first[:length])
+            size += length
+            if length == len(first):
                 flow.waiting.popleft()
             else:
-                flow.waiting[0] = first[take:]
+                flow.waiting[0] = first[length:]
         flow.size -= size
         self.unsent -= size
         last = not flow.waiting and flow.end and flow.trailers is None
-        self.h2.send_data(number, b"".join(parts), end_stream=last)
+        self.h2.send_data(number, b"".join(chunks), end_stream=last)
 
     def notify_when_drained(self, number: int):
-        """Ask for `Drained` once what waits on the stream has mostly left."""
+        """Requests a `Drained` event once the data waiting on the stream falls to the low mark."""
         if number in self.streams:
-            self.streams[number].flow.marked = True
+            self.streams[number].flow.notify_drained = True
 
     def ping(self):
         if not self.dead:
             self.h2.ping(b"spruce\x00\x01")
 
     def go_away(self, code: int = 0, why: str = ""):
-        """Take no new streams; those begun go on."""
+        """Accepts no new streams from now on; open streams continue."""
         if not self.leaving:
             self.leaving = True
             self._out.append(self.h2.data_to_send())
@@ -385,14 +395,14 @@
             )
 
     def reset(self, number: int, code: int = Codes.CANCEL):
-        """Give a stream up."""
+        """Resets a stream."""
         if number in self.streams:
             self._drop(number)
             if not self.dead:
                 try:
                     self.h2.reset_stream(number, code)
                 except h2.exceptions.ProtocolError:
-                    pass  # closed by the peer a moment ago
+                    pass  # the peer has just closed the stream
 
 
 HANDLERS = {
--- a/sprucespool/grpc/server.py
+++ b/sprucespool/grpc/server.py
@@ -1,4 +1,4 @@
-"""The serving end of a connection."""
+"""The server end of a connection."""
 
 from __future__ import annotations
 
@@ -17,42 +17,45 @@
 
 
 class ServerLink(Link):
-    """Takes calls, sends messages and one status for each."""
+    """Receives calls, and sends messages and one final status for each."""
 
-    def __init__(self, limits: Limits, ledger: ReceiveBudget | None = None):
-        super().__init__(limits, True, ledger)
+    def __init__(self, limits: Limits, budget: ReceiveBudget | None = None):
+        super().__init__(limits, True, budget)
 
     def _on_request(self, event, events: list, now: float):
         number = event.stream_id
         if self.leaving or self.unsent > self.limits.unsent:
-            # Above the last stream told of in GOAWAY, or too much waits to be written: surely not looked at.
+            # The stream is above the last one named in GOAWAY, or too much data waits to be sent. REFUSED_STREAM tells
+            # the client that the call was not processed.
             return self.h2.reset_stream(number, Codes.REFUSED_STREAM)
         if len(self.streams) >= self.limits.streams:
             return self.h2.reset_stream(number, Codes.REFUSED_STREAM)
         self.highest = max(self.highest, number)
         self.streams[number] = Stream()
         size = sum(len(name) + len(value) + 32 for name, value in event.headers)
-        found = read_metadata(event.headers)
+        metadata = read_metadata(event.headers)
         if size > self.limits.header_list:
             return self.refuse(
                 number, Status.RESOURCE_EXHAUSTED, f"headers of {size} bytes, {self.limits.header_list} are allowed"
             )
-        if found.get(":method") != "POST":
-            return self._http(number, "405")
-        kind = found.get("content-type", "")
-        if not (kind == "application/grpc" or kind.startswith(("application/grpc+", "application/grpc;"))):
-            return self._http(number, "415")
-        if found.get("grpc-encoding", "identity") != "identity":
+        if metadata.get(":method") != "POST":
+            return self._refuse_with_http_status(number, "405")
+        content_type = metadata.get("content-type", "")
+        if not (
+            content_type == "application/grpc" or content_type.startswith(("application/grpc+", "application/grpc;"))
+        ):
+            return self._refuse_with_http_status(number, "415")
+        if metadata.get("grpc-encoding", "identity") != "identity":
             return self.refuse(number, Status.UNIMPLEMENTED, "expected grpc-encoding identity")
         timeout = None
-        if "grpc-timeout" in found:
+        if "grpc-timeout" in metadata:
             try:
-                timeout = read_timeout(found["grpc-timeout"])
-            except ValueError as problem:
-                return self.refuse(number, Status.INVALID_ARGUMENT, str(problem))
-        events.append(CallStarted(number, found[":path"], found, timeout))
+                timeout = read_timeout(metadata["grpc-timeout"])
+            except ValueError as error:
+                return self.refuse(number, Status.INVALID_ARGUMENT, str(error))
+        events.append(CallStarted(number, metadata[":path"], metadata, timeout))
 
-    def _http(self, number: int, status: str):
+    def _refuse_with_http_status(self, number: int, status: str):
         stream = self.streams[number]
         stream.answered = stream.refused = True
         self._send_headers(number, [(b":status", status.encode())], end=True)
@@ -66,19 +69,19 @@
         stream = self.streams.get(event.stream_id)
         if stream is None or stream.refused:
             return
-        if stream.part:
+        if stream.partial:
             events.append(Reset(event.stream_id, int(Codes.CANCEL), False))
-            return self.refuse(event.stream_id, Status.INVALID_ARGUMENT, "a message that is cut off")
+            return self.refuse(event.stream_id, Status.INVALID_ARGUMENT, "the last message is truncated")
         events.append(HalfClosed(event.stream_id))
 
     def refuse(self, number: int, status: Status, message: str, trailers: Metadata | None = None):
-        """End a call; a client that still sends is told to stop."""
+        """Ends a call with an error; a client that is still sending is told to stop."""
         self.finish(number, status, message, trailers)
         if number in self.streams:
             self.streams[number].refused = True
 
     def begin(self, number: int, metadata: Metadata | None = None):
-        """Send the head of an answer (it goes with the first message otherwise)."""
+        """Sends the response headers; without this call they are sent with the first message."""
         stream = self.streams.get(number)
         if stream is not None and not stream.answered:
             stream.answered = True
@@ -91,19 +94,19 @@
         return super().send(number, message)
 
     def finish(self, number: int, status: Status, message: str = "", trailers: Metadata | None = None):
-        """The call's final status. A second one, or one for a stream that is gone, does nothing."""
+        """Sends the final status of a call. Does nothing after the first time or if the stream has ended."""
         stream = self.streams.get(number)
         if stream is None or stream.flow.trailers is not None or self.dead:
             return
-        last = [(b"grpc-status", str(int(status)).encode()), *write_metadata(trailers)]
+        trailing_headers = [(b"grpc-status", str(int(status)).encode()), *write_metadata(trailers)]
         if message:
-            last.append((b"grpc-message", write_message(message).encode()))
+            trailing_headers.append((b"grpc-message", write_message(message).encode()))
         if not stream.answered:
             stream.answered = True
-            last = [(b":status", b"200"), (b"content-type", b"application/grpc"), *last]
-        stream.flow.trailers, stream.flow.end = last, True
+            trailing_headers = [(b":status", b"200"), (b"content-type", b"application/grpc"), *trailing_headers]
+        stream.flow.trailers, stream.flow.end = trailing_headers, True
         if stream.flow.waiting:
             self.sending[number] = None
             return
-        self._send_headers(number, last, end=True)
+        self._send_headers(number, trailing_headers, end=True)
         self._close(number)
--- a/sprucespool/grpc/status.py
+++ b/sprucespool/grpc/status.py
@@ -1,4 +1,4 @@
-"""Status codes, time-outs, metadata and limits of gRPC ("gRPC over HTTP2" in the protocol's own pages)."""
+"""Status codes, timeouts, metadata and limits of gRPC (see "gRPC over HTTP2" in the protocol documentation)."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
     UNAUTHENTICATED = 16
 
 
-# What an HTTP status means where no grpc-status came ("HTTP to gRPC Status Code Mapping").
-FROM_HTTP = {
+# gRPC status for a response without grpc-status, by HTTP status ("HTTP to gRPC Status Code Mapping").
+STATUS_FROM_HTTP = {
     "400": Status.INTERNAL,
     "401": Status.UNAUTHENTICATED,
     "403": Status.PERMISSION_DENIED,
@@ -43,39 +43,40 @@
     "504": Status.UNAVAILABLE,
 }
 
-UNITS = {"H": 3_600_000.0, "M": 60_000.0, "S": 1000.0, "m": 1.0, "u": 1e-3, "n": 1e-6}
-LONGEST = 8.64e7
+UNIT_MS = {"H": 3_600_000.0, "M": 60_000.0, "S": 1000.0, "m": 1.0, "u": 1e-3, "n": 1e-6}
+MAX_TIMEOUT_MS = 8.64e7
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Bounds of one connection; sizes in bytes, times in milliseconds."""
+    """Limits of one connection; sizes in bytes, times in milliseconds."""
 
     streams: int = 1000
     header_list: int = 16384
     message: int = 8 * 1024 * 1024
-    # What may wait to be written to the peer, over all streams, before no more is taken in from it.
+    # Bytes that may wait to be sent to the peer, over all streams, before no more requests are accepted from it.
     unsent: int = 32 * 1024 * 1024
-    # Receive windows: what a peer may send on a stream, or on all, before it is consumed here.
+    # Receive windows: bytes that a peer may send on one stream, or on all, before they are consumed here.
     stream_window: int = 128 * 1024
     link_window: int = 2 * 1024 * 1024
-    # Frames of no use (resets, pings, settings, empty data) a second, beyond which the peer is cut off.
-    useless_frames: int = 2000
-    # Streams that the peer opens and resets at once, a second ("rapid reset").
-    resets: int = 400
+    # Overhead frames (resets, pings, settings, empty data) that the peer may send per second; above it the
+    # connection is ended.
+    overhead_frames_per_second: int = 2000
+    # Streams that the peer may open and reset immediately, per second ("rapid reset" attack).
+    resets_per_second: int = 400
 
     @property
-    def header_cut(self) -> int:
-        """Past this the connection ends; between the two the call alone is refused."""
+    def header_list_hard_limit(self) -> int:
+        """Above this the connection is ended; between `header_list` and this limit only the call is refused."""
         return 4 * self.header_list
 
 
 def read_timeout(text: str) -> float:
-    """`grpc-timeout` in ms. Raises ValueError on what the protocol does not allow."""
+    """Parses `grpc-timeout` to ms. Raises ValueError if the protocol does not allow the value."""
     digits, unit = text[:-1], text[-1:]
-    if not (digits.isascii() and digits.isdigit()) or len(digits) > 8 or unit not in UNITS:
+    if not (digits.isascii() and digits.isdigit()) or len(digits) > 8 or unit not in UNIT_MS:
         raise ValueError(f"expected grpc-timeout as up to 8 digits and one of H M S m u n, got {text[:20]!r}")
-    return min(LONGEST, int(digits) * UNITS[unit])
+    return min(MAX_TIMEOUT_MS, int(digits) * UNIT_MS[unit])
 
 
 def write_timeout(ms: float) -> str:
@@ -84,12 +85,12 @@
 
 
 def read_metadata(headers: list[tuple[bytes, bytes]]) -> Metadata:
-    """Names and values as text; `-bin` values stay base64. A repeated name is joined by commas."""
-    found: Metadata = {}
+    """Names and values as text; `-bin` values stay base64. Values of a repeated name are joined by commas."""
+    metadata: Metadata = {}
     for name, value in headers:
         key, text = name.decode("ascii", "replace"), value.decode("latin-1")
-        found[key] = f"{found[key]},{text}" if key in found else text
-    return found
+        metadata[key] = f"{metadata[key]},{text}" if key in metadata else text
+    return metadata
 
 
 def write_message(text: str) -> str:
@@ -101,5 +102,5 @@
 
 
 def write_metadata(metadata: Metadata | None) -> list[tuple[bytes, bytes]]:
-    """As header fields."""
+    """Encodes metadata as header fields."""
     return [(name.encode(), value.encode("latin-1", "replace")) for name, value in metadata.items()] if metadata else []
--- a/sprucespool/grpc/streams.py
+++ b/sprucespool/grpc/streams.py
@@ -1,4 +1,4 @@
-"""State of the streams of a connection, and bounds on what a peer may make of them."""
+"""State of the streams of a connection, and limits on what a peer may cause."""
 
 from __future__ import annotations
 
@@ -10,53 +10,56 @@
 
 @dataclass(slots=True)
 class Flow:
-    """Data of one stream that waits to be written, with its end."""
+    """Data of one stream that waits to be sent, and how the stream ends."""
 
     waiting: deque[memoryview] = field(default_factory=deque)
     size: int = 0
     trailers: list | None = None
     end: bool = False
-    marked: bool = False
-    still: int = 0
-    size_swept: int = 0
+    notify_drained: bool = False
+    # Consecutive sweeps without progress, and the size at the last sweep.
+    idle_sweeps: int = 0
+    size_at_last_sweep: int = 0
 
 
 @dataclass(slots=True)
 class Stream:
-    """One call's state on its connection."""
+    """State of one call on its connection."""
 
     flow: Flow = field(default_factory=Flow)
-    part: bytearray = field(default_factory=bytearray)
+    # Received bytes of messages that are not complete yet.
+    partial: bytearray = field(default_factory=bytearray)
     status: str = ""
     answered: bool = False
     messages: int = 0
     refused: bool = False
-    # Bytes received and not yet given back to the peer's window.
-    held: int = 0
-    # Bytes of whole messages handed out and not yet consumed.
-    owed: int = 0
+    # Received bytes that are not yet returned to the peer's flow-control window.
+    unacknowledged: int = 0
+    # Bytes of complete messages that the user received and has not consumed yet.
+    unconsumed: int = 0
     headers: Metadata | None = None
 
 
 class ReceiveBudget:
-    """Bytes of half-received messages over many connections: each is bounded, thousands together are not."""
+    """Counts bytes of partially received messages over many connections. The limits per connection alone do not bound
+    the memory of thousands of connections."""
 
-    __slots__ = ("used", "most")
+    __slots__ = ("used", "max_bytes")
 
-    def __init__(self, most: int):
-        self.used, self.most = 0, most
+    def __init__(self, max_bytes: int):
+        self.used, self.max_bytes = 0, max_bytes
 
 
 class RateBucket:
-    """How many of something the peer may do in a second."""
+    """A leaky bucket that limits how many events per second the peer may cause."""
 
-    __slots__ = ("most", "level", "at")
+    __slots__ = ("per_second", "level", "updated_at")
 
-    def __init__(self, most: float):
-        self.most, self.level, self.at = most, 0.0, 0.0
+    def __init__(self, per_second: float):
+        self.per_second, self.level, self.updated_at = per_second, 0.0, 0.0
 
-    def spill(self, now: float) -> bool:
-        """Counts one more; whether that is too many."""
-        self.level = max(0.0, self.level - (now - self.at) * self.most / 1000.0) + 1.0
-        self.at = now
-        return self.level > self.most
+    def add(self, now: float) -> bool:
+        """Counts one event; returns whether the limit is exceeded. `now` is in ms."""
+        self.level = max(0.0, self.level - (now - self.updated_at) * self.per_second / 1000.0) + 1.0
+        self.updated_at = now
+        return self.level > self.per_second
--- a/tests/test_drills.py
+++ b/tests/test_drills.py
@@ -1,4 +1,5 @@
-"""Bad input at the daemon's doors over sockets: a clear end for the bad, nothing for the others, memory bounded."""
+"""Malformed and hostile input to the daemon over sockets: the sender gets an error, other clients are not affected,
+and memory stays bounded."""
 
 import random
 import resource
@@ -27,8 +28,8 @@
         'bounds message="1MiB" connections=200 unread="2s" handshake="1s" half-received="8MiB"\n'
         "to-invokers connections=8 streams=100",
     )
-    with grpc.insecure_channel(f"127.0.0.1:{daemon.port}") as line:
-        infer = line.unary_unary(names.MODEL_INFER)
+    with grpc.insecure_channel(f"127.0.0.1:{daemon.port}") as grpc_channel:
+        infer = grpc_channel.unary_unary(names.MODEL_INFER)
         infer(request(), timeout=5)
         yield stage, daemon, infer
     stage.run(daemon.stop(500))
@@ -36,21 +37,21 @@
 
 
 @pytest.fixture(autouse=True)
-def others_are_undisturbed(served):
+def other_clients_are_unaffected(served):
     _, _, infer = served
     yield
     for n in range(5):
         infer(request(id=f"after{n}"), timeout=2)
 
 
-def code(infer, data, **over):
+def error_of(infer, data, **options):
     with pytest.raises(grpc.RpcError) as caught:
-        infer(data, timeout=2, **over)
+        infer(data, timeout=2, **options)
     return caught.value.code(), caught.value.details()
 
 
 @pytest.mark.parametrize(
-    ("data", "told"),
+    ("data", "expected"),
     [
         (b"\xff\xff\xff", "no ModelInferRequest"),
         (b"", "expected model_name"),
@@ -62,22 +63,24 @@
         (request("m" * 600), "512 are allowed"),
     ],
 )
-def test_garbage_within_a_call_is_told_what_was_expected(served, data, told):
-    status, details = code(served[2], data)
-    assert status is Code.INVALID_ARGUMENT and told in details
+def test_a_malformed_request_gets_an_error_that_says_what_was_expected(served, data, expected):
+    status, details = error_of(served[2], data)
+    assert status is Code.INVALID_ARGUMENT and expected in details
 
 
-def test_a_message_too_large_and_a_method_unknown(served):
-    assert code(served[2], request(payload=bytes(2 * 2**20)))[0] is Code.RESOURCE_EXHAUSTED
-    with grpc.insecure_channel(f"127.0.0.1:{served[1].port}") as line:
-        assert code(line.unary_unary("/inference.GRPCInferenceService/Nothing"), b"")[0] is Code.UNIMPLEMENTED
-        assert code(line.unary_unary("/"), b"")[0] is Code.UNIMPLEMENTED
+def test_too_large_messages_and_unknown_methods_get_an_error(served):
+    assert error_of(served[2], request(payload=bytes(2 * 2**20)))[0] is Code.RESOURCE_EXHAUSTED
+    with grpc.insecure_channel(f"127.0.0.1:{served[1].port}") as grpc_channel:
+        assert (
+            error_of(grpc_channel.unary_unary("/inference.GRPCInferenceService/Nothing"), b"")[0] is Code.UNIMPLEMENTED
+        )
+        assert error_of(grpc_channel.unary_unary("/"), b"")[0] is Code.UNIMPLEMENTED
 
 
-def test_random_bytes_and_cut_frames_close_only_their_connection(served):
-    chance = random.Random(5)
+def test_random_bytes_and_truncated_frames_close_only_their_connection(served):
+    rng = random.Random(5)
     for n in range(30):
-        data = chance.randbytes(chance.randint(1, 3000))
+        data = rng.randbytes(rng.randint(1, 3000))
         raw(served[1].port, data if n % 2 else HELLO + data, wait=0.05)
     for cut in (1, 10, 24, 30, 40):
         raw(served[1].port, (HELLO + frame(1, 4, 1, Encoder().encode(GRPC)))[:cut], wait=0.05)
@@ -89,18 +92,18 @@
     resets = b"".join(frame(1, 4, n, block) + frame(3, 0, n, b"\0\0\0\x08") for n in range(1, 2001, 2))
     headers = frame(1, 0, 1, b"\x00\x01a\x01b" * 3000) + frame(9, 0, 1, b"\x00\x01a\x01b" * 3000) * 100
     for flood in (resets, headers, frame(6, 0, 0, bytes(8)) * 5000, frame(4, 0, 0) * 5000):
-        got = raw(served[1].port, HELLO + flood, wait=1.0)
-        assert b"\x07\x00\x00\x00\x00\x00" in got
+        received = raw(served[1].port, HELLO + flood, wait=1.0)
+        assert b"\x07\x00\x00\x00\x00\x00" in received
 
 
-def test_windows_of_zero_held_for_ever_and_readers_that_stop_lose_only_their_answers(served):
+def test_clients_with_a_zero_window_lose_only_their_own_responses(served):
     stage, daemon, _ = served
     block = Encoder().encode([*GRPC[:2], (b":path", names.MODEL_INFER.encode()), *GRPC[3:]])
     body = request(payload=b"x")
     call = frame(0, 1, 1, b"\x00" + len(body).to_bytes(4, "big") + body)
-    zero = HELLO + frame(4, 0, 0, b"\x00\x04\x00\x00\x00\x00") + frame(1, 4, 1, block) + call
+    zero_window = HELLO + frame(4, 0, 0, b"\x00\x04\x00\x00\x00\x00") + frame(1, 4, 1, block) + call
     with socket.create_connection(("127.0.0.1", daemon.port)) as conn:
-        conn.sendall(zero)
+        conn.sendall(zero_window)
         deadline = time.monotonic() + 6
         while time.monotonic() < deadline:
             time.sleep(0.1)
@@ -112,7 +115,7 @@
     assert stage.call(lambda: len(daemon.door.clients)) == 0
 
 
-def test_connections_that_say_nothing_are_closed_and_those_beyond_the_limit_turned_away(served):
+def test_silent_connections_are_closed_and_those_above_the_limit_refused(served):
     stage, daemon, _ = served
     conns = [socket.create_connection(("127.0.0.1", daemon.port)) for _ in range(260)]
     deadline = time.monotonic() + 5
@@ -124,7 +127,7 @@
         conn.close()
 
 
-def test_half_messages_of_many_connections_stay_within_their_bound(served):
+def test_partial_messages_of_many_connections_stay_within_the_limit(served):
     stage, daemon, _ = served
     block = Encoder().encode([*GRPC[:2], (b":path", names.MODEL_INFER.encode()), *GRPC[3:]])
     before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
@@ -132,9 +135,9 @@
     for _ in range(40):
         conn = socket.create_connection(("127.0.0.1", daemon.port))
         conn.settimeout(0.2)
-        head = b"\x00" + (2**20).to_bytes(4, "big")
+        message_header = b"\x00" + (2**20).to_bytes(4, "big")
         data = HELLO + b"".join(
-            frame(1, 4, n, block) + frame(0, 0, n, head + bytes(16_000)) + frame(0, 0, n, bytes(16_000)) * 62
+            frame(1, 4, n, block) + frame(0, 0, n, message_header + bytes(16_000)) + frame(0, 0, n, bytes(16_000)) * 62
             for n in range(1, 9, 2)
         )
         try:
@@ -143,10 +146,10 @@
             pass
         conns.append(conn)
     time.sleep(0.3)
-    used = stage.call(lambda: daemon.listener.ledger.used)
-    grown = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - before
+    used_bytes = stage.call(lambda: daemon.listener.ledger.used)
+    growth_kib = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - before
     for conn in conns:
         conn.close()
     time.sleep(0.3)
-    assert used <= 17 * 2**20 and grown < 200 * 1024
+    assert used_bytes <= 17 * 2**20 and growth_kib < 200 * 1024
     assert stage.call(lambda: daemon.listener.ledger.used) == 0
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -1,4 +1,4 @@
-"""HTTP/2 and gRPC at the byte level: whatever comes, a clear status or an end with a reason, and never a crash."""
+"""HTTP/2 and gRPC at the byte level: any input leads to a status or to an end with a reason, and never to a crash."""
 
 import h2.config
 import h2.connection
@@ -16,19 +16,19 @@
 
 
 def shuttle(client, server, now=0.0, step=1 << 20):
-    """Carry bytes both ways, in pieces, until nothing moves; the events of either end."""
-    heard = {client: [], server: []}
+    """Transfers bytes both ways, in pieces, until nothing is left; returns the events of client and server."""
+    events = {client: [], server: []}
     for _ in range(10_000):
         moved = False
-        for here, there in ((client, server), (server, client)):
-            data, drained = here.outgoing()
-            heard[here] += drained
+        for sender, receiver in ((client, server), (server, client)):
+            data, drained = sender.outgoing()
+            events[sender] += drained
             for at in range(0, len(data), step):
-                heard[there] += there.receive(data[at : at + step], now)
+                events[receiver] += receiver.receive(data[at : at + step], now)
                 moved = True
         if not moved:
-            return heard[client], heard[server]
-    raise AssertionError("the two ends talk for ever")
+            return events[client], events[server]
+    raise AssertionError("the two ends never stop sending")
 
 
 def pair(**limits):
@@ -37,56 +37,56 @@
     return client, server
 
 
-def kinds(events, kind):
-    return [event for event in events if isinstance(event, kind)]
+def of_type(events, event_type):
+    return [event for event in events if isinstance(event, event_type)]
 
 
 @pytest.mark.parametrize("step", [1, 2, 7, 1000, 1 << 20])
-def test_a_call_and_its_answer_whatever_pieces_the_bytes_come_in(step):
+def test_a_call_and_its_response_in_pieces_of_any_size(step):
     client, server = ClientLink(Limits()), ServerLink(Limits())
     number = client.call("/a.B/C", "h", {"x-one": "1"}, 1500.0)
     client.send(number, b"question" * 5000)
     client.half_close(number)
-    _, heard = shuttle(client, server, step=step)
-    began, message, closed = heard
-    assert (began.path, began.timeout, began.metadata["x-one"]) == ("/a.B/C", 1500.0, "1")
+    _, events = shuttle(client, server, step=step)
+    started, message, closed = events
+    assert (started.path, started.timeout, started.metadata["x-one"]) == ("/a.B/C", 1500.0, "1")
     assert message.data == b"question" * 5000 and isinstance(closed, HalfClosed)
     server.send(number, b"answer")
     server.finish(number, Status.OK, "", {"spruce-found": "warm"})
-    heard, _ = shuttle(client, server, step=step)
-    assert heard[0].data == b"answer" and heard[1].status is Status.OK
-    assert heard[1].trailers["spruce-found"] == "warm" and not client.streams and not server.streams
+    events, _ = shuttle(client, server, step=step)
+    assert events[0].data == b"answer" and events[1].status is Status.OK
+    assert events[1].trailers["spruce-found"] == "warm" and not client.streams and not server.streams
 
 
-def test_messages_far_larger_than_the_windows_pass_and_the_windows_come_back():
+def test_messages_far_larger_than_the_windows_arrive_and_the_windows_recover():
     client, server = pair(stream_window=65536, link_window=100_000)
-    for turn in range(3):
+    for attempt in range(3):
         number = client.call("/a.B/C", "h")
         client.send(number, bytes(4_000_000))
         client.half_close(number)
-        got = []
+        received = []
         for _ in range(200):
-            _, heard = shuttle(client, server)
-            got += heard
-            for message in kinds(heard, Message):
+            _, events = shuttle(client, server)
+            received += events
+            for message in of_type(events, Message):
                 server.consumed(number, message.size)
-        assert [len(message.data) for message in kinds(got, Message)] == [4_000_000], turn
+        assert [len(message.data) for message in of_type(received, Message)] == [4_000_000], attempt
         server.finish(number, Status.OK)
         shuttle(client, server)
 
 
-def test_what_a_user_does_not_consume_holds_its_own_stream_and_no_other():
+def test_unconsumed_data_blocks_only_its_own_stream():
     client, server = pair(stream_window=65536, link_window=1 << 20)
-    slow, quick = client.call("/a.B/C", "h"), client.call("/a.B/C", "h")
+    slow, fast = client.call("/a.B/C", "h"), client.call("/a.B/C", "h")
     for _ in range(100):
         server.send(slow, bytes(10_000)) if slow in server.streams else shuttle(client, server)
     shuttle(client, server)
     waiting = server.waiting_on(slow)
     assert 800_000 < waiting < 1_000_000
-    server.send(quick, b"x")
-    server.finish(quick, Status.OK)
-    heard, _ = shuttle(client, server)
-    assert [event.stream for event in kinds(heard, Answered)] == [quick]
+    server.send(fast, b"x")
+    server.finish(fast, Status.OK)
+    client_events, _ = shuttle(client, server)
+    assert [event.stream for event in of_type(client_events, Answered)] == [fast]
     client.consumed(slow, 60_000)
     shuttle(client, server)
     assert server.waiting_on(slow) < waiting
@@ -94,28 +94,30 @@
     assert [event.stream for event in server.sweep(2)] == [slow] and slow not in server.streams
 
 
-def test_a_goaway_ends_what_is_above_it_as_never_run_and_lets_the_rest_finish():
+def test_a_goaway_resets_later_streams_as_never_run_and_earlier_ones_finish():
     client, server = pair()
     first = client.call("/a.B/C", "h")
     shuttle(client, server)
     server.go_away()
     second = client.call("/a.B/C", "h")
-    heard, began = shuttle(client, server)
-    assert not kinds(began, CallStarted) and client.room == 0
-    assert [(event.stream, event.never_ran) for event in kinds(heard, Reset)] == [(second, True)]
+    client_events, server_events = shuttle(client, server)
+    assert not of_type(server_events, CallStarted) and client.room == 0
+    assert [(event.stream, event.never_ran) for event in of_type(client_events, Reset)] == [(second, True)]
     server.send(first, b"still")
     server.finish(first, Status.OK)
-    heard, _ = shuttle(client, server)
-    assert kinds(heard, Message)[0].data == b"still" and kinds(heard, Answered)[0].status is Status.OK
+    client_events, _ = shuttle(client, server)
+    assert (
+        of_type(client_events, Message)[0].data == b"still" and of_type(client_events, Answered)[0].status is Status.OK
+    )
 
 
-def test_streams_past_the_limit_are_refused_as_never_run_and_the_others_live():
+def test_streams_above_the_limit_are_refused_as_never_run_and_the_others_continue():
     client, server = ClientLink(Limits(streams=50)), ServerLink(Limits(streams=3))
-    # Before the server's SETTINGS are known a client may open more.
+    # A client may open more streams before it knows the server's SETTINGS.
     numbers = [client.call("/a.B/C", "h") for _ in range(5)]
-    heard, began = shuttle(client, server)
-    assert [event.stream for event in kinds(began, CallStarted)] == numbers[:3]
-    assert [(e.stream, e.never_ran) for e in kinds(heard, Reset)] == [(n, True) for n in numbers[3:]]
+    client_events, server_events = shuttle(client, server)
+    assert [event.stream for event in of_type(server_events, CallStarted)] == numbers[:3]
+    assert [(e.stream, e.never_ran) for e in of_type(client_events, Reset)] == [(n, True) for n in numbers[3:]]
     assert client.room == 0
 
 
@@ -131,13 +133,13 @@
 def test_bad_headers_get_a_status_on_their_own_stream(headers, status):
     client, server = pair()
     bad, good = client.call("/a.B/C", "h", headers), client.call("/a.B/C", "h")
-    heard, began = shuttle(client, server)
-    assert [(event.stream, event.status) for event in kinds(heard, Answered)] == [(bad, status)]
-    assert [event.stream for event in kinds(began, CallStarted)] == [good]
+    client_events, server_events = shuttle(client, server)
+    assert [(event.stream, event.status) for event in of_type(client_events, Answered)] == [(bad, status)]
+    assert [event.stream for event in of_type(server_events, CallStarted)] == [good]
 
 
-def plain(headers, body=b""):
-    """A connection of a client that is no gRPC client."""
+def plain_http2(headers, body=b""):
+    """The connection of an HTTP/2 client that does not use gRPC."""
     conn = h2.connection.H2Connection(h2.config.H2Configuration(client_side=True, header_encoding=None))
     conn.initiate_connection()
     conn.send_headers(1, headers, end_stream=not body)
@@ -146,25 +148,25 @@
     return conn
 
 
-def answers(conn, server):
+def response_headers(conn, server):
     server.receive(conn.data_to_send(), 0.0)
     events = conn.receive_data(server.outgoing()[0])
     return [dict(event.headers) for event in events if hasattr(event, "headers")]
 
 
 @pytest.mark.parametrize(
-    ("method", "kind", "status"),
+    ("method", "content_type", "status"),
     [(b"GET", b"application/grpc", b"405"), (b"POST", b"text/html", b"415"), (b"POST", b"application/grpcx", b"415")],
 )
-def test_what_is_no_grpc_gets_an_http_status(method, kind, status):
+def test_a_request_that_is_not_grpc_gets_an_http_status(method, content_type, status):
     headers = [
         (b":method", method),
         (b":scheme", b"http"),
         (b":path", b"/"),
         (b":authority", b"h"),
-        (b"content-type", kind),
+        (b"content-type", content_type),
     ]
-    assert answers(plain(headers), ServerLink(Limits()))[0][b":status"] == status
+    assert response_headers(plain_http2(headers), ServerLink(Limits()))[0][b":status"] == status
 
 
 GRPC = [
@@ -186,8 +188,8 @@
         (b"\x00\x00", b"3"),
     ],
 )
-def test_messages_compressed_too_large_or_cut_off_get_a_status(body, status):
-    assert answers(plain(GRPC, body), ServerLink(Limits()))[0][b"grpc-status"] == status
+def test_compressed_too_large_or_truncated_messages_get_a_status(body, status):
+    assert response_headers(plain_http2(GRPC, body), ServerLink(Limits()))[0][b"grpc-status"] == status
 
 
 def frame(kind, flags, stream, body=b""):
@@ -205,59 +207,59 @@
     return str(caught.value)
 
 
-def test_rapid_resets_pings_settings_and_empty_frames_are_cut_off():
+def test_floods_of_resets_pings_settings_and_empty_frames_end_the_connection():
     block = Encoder().encode(GRPC)
     resets = b"".join(frame(1, 4, n, block) + frame(3, 0, n, b"\0\0\0\x08") for n in range(1, 1201, 2))
     assert "reset" in flood(ServerLink(Limits()), HELLO + resets)
-    assert "no use" in flood(ServerLink(Limits()), HELLO + frame(6, 0, 0, bytes(8)) * 3000)
-    assert "no use" in flood(ServerLink(Limits()), HELLO + frame(4, 0, 0) * 3000)
+    assert "control or empty" in flood(ServerLink(Limits()), HELLO + frame(6, 0, 0, bytes(8)) * 3000)
+    assert "control or empty" in flood(ServerLink(Limits()), HELLO + frame(4, 0, 0) * 3000)
     empty = HELLO + frame(1, 4, 1, block) + frame(0, 0, 1) * 3000
-    assert "no use" in flood(ServerLink(Limits()), empty)
+    assert "control or empty" in flood(ServerLink(Limits()), empty)
 
 
-def test_a_flood_of_headers_ends_the_connection_within_bounds():
-    endless = HELLO + frame(1, 0, 1, b"\x00\x01a\x01b" * 3000) + frame(9, 0, 1, b"\x00\x01a\x01b" * 3000) * 200
-    flood(ServerLink(Limits()), endless)
-    bomb = Encoder()
-    bomb.header_table_size = 4096
-    block = bomb.encode([*GRPC, *[(b"x", b"y" * 3000)] * 2000])
+def test_a_flood_of_headers_ends_the_connection():
+    headers = HELLO + frame(1, 0, 1, b"\x00\x01a\x01b" * 3000) + frame(9, 0, 1, b"\x00\x01a\x01b" * 3000) * 200
+    flood(ServerLink(Limits()), headers)
+    encoder = Encoder()
+    encoder.header_table_size = 4096
+    block = encoder.encode([*GRPC, *[(b"x", b"y" * 3000)] * 2000])
     flood(ServerLink(Limits()), HELLO + frame(1, 4, 1, block[:16000]))
 
 
-def half_sent(ledger):
-    client, server = ClientLink(Limits()), ServerLink(Limits(stream_window=65536), ledger)
+def connection_with_partial_messages(budget):
+    client, server = ClientLink(Limits()), ServerLink(Limits(stream_window=65536), budget)
     for _ in range(20):
         number = client.call("/a.B/C", "h")
         client._queue(number, client.streams[number], b"\x00" + (4_000_000).to_bytes(4, "big") + bytes(2_000_000))
     return client, server
 
 
-def test_half_received_messages_of_many_stay_within_the_ledger_and_the_greedy_are_cut_off():
-    ledger = ReceiveBudget(2_000_000)
-    client, server = half_sent(ledger)
+def test_partial_messages_stay_within_the_receive_budget_and_excess_ends_the_connection():
+    budget = ReceiveBudget(2_000_000)
+    client, server = connection_with_partial_messages(budget)
     shuttle(client, server)
-    # What was let in and has not come yet is not counted: a window a stream.
-    assert 1_000_000 < ledger.used < 2_000_000 + 21 * 65536
+    # Granted window that is not used yet is not counted: up to one window per stream.
+    assert 1_000_000 < budget.used < 2_000_000 + 21 * 65536
     for number in list(client.streams):
         client.reset(number)
     shuttle(client, server)
-    assert ledger.used == 0
-    ledger = ReceiveBudget(300_000)
-    client, server = half_sent(ledger)
+    assert budget.used == 0
+    budget = ReceiveBudget(300_000)
+    client, server = connection_with_partial_messages(budget)
     with pytest.raises(LinkError, match="half-sent"):
         shuttle(client, server)
     server.forget()
-    assert ledger.used == 0
+    assert budget.used == 0
 
 
 @FAST
 @given(st.binary(max_size=300), st.booleans())
-def test_random_bytes_never_crash_either_end(data, hello):
+def test_random_bytes_never_crash_either_end(data, after_preface):
     server, client = ServerLink(Limits()), ClientLink(Limits())
     number = client.call("/a.B/C", "h")
-    for link, begin in ((server, HELLO if hello else b""), (client, frame(4, 0, 0))):
+    for link, prefix in ((server, HELLO if after_preface else b""), (client, frame(4, 0, 0))):
         try:
-            link.receive(begin + data, 0.0)
+            link.receive(prefix + data, 0.0)
         except LinkError:
             assert link.dead
         link.outgoing()
@@ -266,7 +268,7 @@
 
 @FAST
 @given(st.data())
-def test_a_good_stream_with_bytes_changed_ends_in_events_or_a_reason(data):
+def test_a_corrupted_connection_ends_in_events_or_a_reason(data):
     client = ClientLink(Limits())
     for n in range(3):
         number = client.call("/a.B/C", "h", {"k": "v" * n})
@@ -287,5 +289,5 @@
 
 @FAST
 @given(st.floats(0.001, 8e7))
-def test_timeouts_are_read_as_they_are_written(ms):
+def test_timeouts_round_trip(ms):
     assert abs(read_timeout(write_timeout(ms)) - ms) <= max(0.001, ms * 1e-4)
