--- a/sprucespool/grpc/events.py
+++ b/sprucespool/grpc/events.py
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class Reset:
-    """The peer reset the stream. `never_ran`: the peer guarantees that it did not process the call."""
+    """The stream was reset, usually by the peer. `never_ran`: the peer states that it did not process the call."""
 
     stream: int
     code: int
--- a/sprucespool/grpc/status.py
+++ b/sprucespool/grpc/status.py
@@ -54,7 +54,7 @@
     streams: int = 1000
     header_list: int = 16384
     message: int = 8 * 1024 * 1024
-    # Bytes that may wait to be sent to the peer, over all streams, before no more requests are accepted from it.
+    # Bytes that may wait to be sent to the peer, over all streams, before its new requests are refused.
     unsent: int = 32 * 1024 * 1024
     # Receive windows: bytes that a peer may send on one stream, or on all, before they are consumed here.
     stream_window: int = 128 * 1024
--- a/sprucespool/learning/knowledge.py
+++ b/sprucespool/learning/knowledge.py
@@ -95,11 +95,11 @@
         """Adds claims; returns those that replaced a lower claim or are new."""
         accepted = []
         for claim in claims:
-            held = self.claims.get(claim.key)
-            if held is not None and held.rank >= claim.rank:
+            existing = self.claims.get(claim.key)
+            if existing is not None and existing.rank >= claim.rank:
                 continue
-            if held is not None:
-                self.remove(held.key)
+            if existing is not None:
+                self.remove(existing.key)
             self.claims[claim.key] = claim
             number = self._bucket(claim)
             if number not in self.buckets:
--- a/sprucespool/learning/trust.py
+++ b/sprucespool/learning/trust.py
@@ -4,7 +4,8 @@
 
 from dataclasses import dataclass
 
-# A claim that was passed on once counts half as much as one from the sender's own responses; after two it is ignored.
+# A claim that was passed on once counts half as much as one from a response that the sender itself received; a claim
+# that was passed on twice is ignored.
 WEIGHT_BY_HOPS = {1: 1.0, 2: 0.5}
 # A source starts as if this many of its claims had been tested: a source that only sends wrong claims must be detected
 # within a few loads (five), and one with 30% wrong claims must not be dropped for a bad start (one in fifty is).
