--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""The platform's door on loopback, between small stand-ins of invokers, channel and clients."""
+"""The node on loopback, with small stand-ins for invokers, command channel and clients."""
 
 import asyncio
 import json
@@ -9,8 +9,8 @@
 import time
 
 import pytest
-from platform_scene import KEY, controller_process, entry, played
-from platform_world import asked, configuration, frame
+from platform_scene import KEY, controller_process, entry, run_scene
+from platform_world import configuration, frame, request_frame
 
 from sprucespool.node.logs import Log
 from sprucespool.node.serve import Node
@@ -20,13 +20,13 @@
 
 
 class StandIn:
-    """An invoker: `behave(command, tag, body)` gives what it writes; None: nothing at all."""
+    """An invoker: `behave(command, tag, body)` returns what it writes; None: nothing."""
 
     def __init__(self, behave=None):
         self.behave = behave or (
             lambda command, tag, body: f"{tag} HIT tell=resident {len(body)}\r\n".encode() + body + b"\r\n"
         )
-        self.heard, self.connections, self.writers = [], 0, []
+        self.received, self.connections, self.writers = [], 0, []
 
     async def start(self):
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
@@ -42,7 +42,7 @@
                 body = b""
                 if words[0] == "exec":
                     body = (await reader.readexactly(int(words[3]) + 2))[:-2]
-                self.heard.append((words, body, time.monotonic()))
+                self.received.append((words, body, time.monotonic()))
                 out = self.behave(words[0], words[1], body)
                 if asyncio.iscoroutine(out):
                     out = await out
@@ -54,14 +54,14 @@
             pass
 
     def runs(self):
-        return [words for words, _, _ in self.heard if words[0] == "exec"]
+        return [words for words, _, _ in self.received if words[0] == "exec"]
 
 
 class ChannelStandIn:
-    """The command channel: each connection plays the next list of lines; "end" breaks it off."""
+    """The command channel: each connection writes the next list of texts and then ends; the last one stays open."""
 
-    def __init__(self, *plays):
-        self.plays, self.asked, self.comments = list(plays), [], True
+    def __init__(self, *scripts):
+        self.scripts, self.last_event_ids, self.comments = list(scripts), [], True
 
     async def start(self):
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
@@ -70,12 +70,14 @@
 
     async def _serve(self, reader, writer):
         head = await reader.readuntil(b"\r\n\r\n")
-        self.asked.append(next(line for line in head.decode().split("\r\n") if line.startswith("Last-Event-ID")))
+        self.last_event_ids.append(
+            next(line for line in head.decode().split("\r\n") if line.startswith("Last-Event-ID"))
+        )
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
         try:
-            for text in self.plays.pop(0) if self.plays else ():
+            for text in self.scripts.pop(0) if self.scripts else ():
                 writer.write(text)
-            if not self.plays:
+            if not self.scripts:
                 while True:
                     if self.comments:
                         writer.write(b": still here\n\n")
@@ -90,7 +92,7 @@
         self.reader, self.writer = reader, writer
 
     async def answer(self):
-        """(type, stream, code, rest) of the next frame; None at the connection's end."""
+        """Returns (type, stream, code, rest) of the next frame; None when the connection has ended."""
         try:
             size = int.from_bytes(await self.reader.readexactly(4), "big")
             data = await self.reader.readexactly(size)
@@ -112,12 +114,12 @@
             await invoker.start()
         await self.channel.start()
         first = entry(1, *[(f"s-{n}", one.port, "up") for n, one in enumerate(self.invokers)], whole=True)
-        told = configuration(channel=f"127.0.0.1:{self.channel.port}", known={"cursor": 1, "cmds": [first]})
-        told.update(self.change)
-        self.node = Node("", read(json.dumps(told).encode()), Log("error"))
+        config = configuration(channel=f"127.0.0.1:{self.channel.port}", known={"cursor": 1, "cmds": [first]})
+        config.update(self.change)
+        self.node = Node("", read(json.dumps(config).encode()), Log("error"))
         self.port = await self.node.start()
-        # Until discovery is heard invokers are checked before they are sent to.
-        while self.node.channel.heard_at is None:
+        # Until discovery is received, invokers are probed before they are used.
+        while self.node.channel.up_to_date_at is None:
             await asyncio.sleep(0.01)
         await asyncio.sleep(0.01)
         return self
@@ -125,24 +127,24 @@
     async def client(self):
         return Client(*await asyncio.open_connection("127.0.0.1", self.port))
 
-    async def __aexit__(self, *problem):
+    async def __aexit__(self, *exc_info):
         self.node.close()
         for one in [*self.invokers, self.channel]:
             one.server.close()
         await asyncio.sleep(0.02)
 
 
-def test_a_body_comes_back_byte_for_byte_and_each_request_is_passed_on_unchanged():
+def test_bodies_and_requests_are_passed_on_unchanged():
     async def scene():
         async with World([StandIn()]) as world:
             client, body = await world.client(), bytes(range(256)) + b"\r\n"
             assert await client.ask(frame(32, 0)) == (33, 0, 0, b"\0")
             limits = []
             for n in range(1, 5):
-                # A stall of the machine is taken off the limit: one of four on a crowded one meets none.
-                sent = asked(n, body, id=f"{n:016x}", once="ab" * 16, **{"class": "publish"})
+                # A stall of the machine reduces the limit; one of four requests meets none even on a busy machine.
+                sent = request_frame(n, body, id=f"{n:016x}", once="ab" * 16, **{"class": "publish"})
                 assert await client.ask(sent) == (17, n, 0, b"\0" + body)
-                words, got, _ = world.invokers[0].heard[n - 1]
+                words, got, _ = world.invokers[0].received[n - 1]
                 fields = dict(part.split("=") for part in words[2].split(","))
                 limits.append(int(fields.pop("limit")))
                 assert fields == {"cls": "publish", "item": KEY, "nonce": "ab" * 16}
@@ -150,22 +152,22 @@
                 await asyncio.sleep(0.1)
             assert all(limit <= 1500 for limit in limits) and max(limits) > 1300
 
-    played(scene)
+    run_scene(scene)
 
 
-def test_noise_ends_its_connection_alone_and_what_was_open_goes_on_elsewhere():
+def test_invalid_input_ends_only_its_connection_and_open_requests_go_elsewhere():
     async def scene():
         bad = StandIn(lambda command, tag, body: b"@@ noise\r\n")
         async with World([bad, StandIn()]) as world:
             client = await world.client()
             for n in range(1, 9):
-                assert (await client.ask(asked(n, b"x", id=f"{n:016x}", key=f"{n:016x}")))[2] == 0
+                assert (await client.ask(request_frame(n, b"x", id=f"{n:016x}", key=f"{n:016x}")))[2] == 0
             assert bad.runs()
 
-    played(scene)
+    run_scene(scene)
 
 
-def test_a_late_answer_to_an_earlier_forward_never_ends_the_next_at_the_same_invoker():
+def test_a_late_answer_never_ends_the_next_forward_at_the_same_invoker():
     async def scene():
         async def behave(command, tag, body):
             if command != "exec":
@@ -177,32 +179,32 @@
         one = StandIn(behave)
         async with World([one]) as world:
             client = await world.client()
-            door = world.node.door
-            invoker = door.invoker("s-0")
-            heard = []
+            server = world.node.server
+            invoker = server.invoker("s-0")
+            ends = []
             tag = "a" * 16
             for _ in range(2):
                 done = asyncio.Event()
-                invoker.ask(
+                invoker.request(
                     tag,
                     lambda link: link.run(tag, "call", KEY, invoker.now() + 500, "", b""),
-                    lambda end, done=done: (heard.append(end), done.set()),
+                    lambda end, done=done: (ends.append(end), done.set()),
                 )
                 await asyncio.wait_for(done.wait(), 2)
-            # The second copy of the first answer finds nobody: the second run is on a connection of its own.
-            assert one.connections == 2 and [end.outcome.value for end in heard] == ["miss", "returned"]
+            # A second copy of the first answer would match no request: the second run uses another connection.
+            assert one.connections == 2 and [end.outcome.value for end in ends] == ["miss", "returned"]
             client.writer.close()
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_a_refused_connection_proves_not_run_and_a_reset_does_not():
     async def scene():
         async with World([StandIn(lambda command, tag, body: "reset")]) as world:
-            invoker, ends = world.node.door.invoker("s-0"), []
+            invoker, ends = world.node.server.invoker("s-0"), []
             for tag in ("a" * 16, "b" * 16):
                 done = asyncio.Event()
-                invoker.ask(
+                invoker.request(
                     tag,
                     lambda link, tag=tag: link.run(tag, "call", KEY, invoker.now() + 500, "", b""),
                     lambda end, done=done: (ends.append(end.value), done.set()),
@@ -211,25 +213,25 @@
                 world.invokers[0].server.close()
             assert ends == ["reset", "unconnected"]
 
-    played(scene)
+    run_scene(scene)
 
 
-def test_what_is_given_up_is_answered_at_once_with_a_time_to_come_back():
+def test_a_shed_request_is_answered_at_once_with_a_retry_time():
     async def scene():
         async with World([]) as world:
             client, began = await world.client(), time.monotonic()
-            kind, stream, code, rest = await client.ask(asked(1))
+            kind, stream, code, rest = await client.ask(request_frame(1))
             assert (kind, stream, code) == (17, 1, 14) and rest.startswith(b"\x01\x05after")
             assert time.monotonic() - began < 0.6
 
-    played(scene)
+    run_scene(scene)
 
 
-def test_every_kind_of_bad_client_hears_of_it_in_time_and_is_never_served():
+def test_every_kind_of_bad_client_gets_an_error_in_time_and_is_never_served():
     async def scene():
         async with World([StandIn()]) as world:
 
-            async def told(data, rest=b""):
+            async def send_bad_input(data, rest=b""):
                 client, began = await world.client(), time.monotonic()
                 client.writer.write(data)
                 try:
@@ -246,114 +248,114 @@
 
             await asyncio.gather(
                 *map(
-                    told,
+                    send_bad_input,
                     [
                         b"",
                         b"\0\0\0\x20",
                         b"GET / HTTP/1.1\r\n\r\n",
                         (2**32 - 1).to_bytes(4, "big") + b"x" * 100,
-                        asked(1)[:-3],
-                        asked(1, id=""),
-                        asked(1, wait="nan"),
-                        asked(1, **{"class": "none"}),
-                        asked(1) + asked(1, id="c" * 16),
-                        asked(1) + asked(2),
-                        b"".join(asked(n, id=f"{n:016x}") for n in range(1, 200)),
+                        request_frame(1)[:-3],
+                        request_frame(1, id=""),
+                        request_frame(1, wait="nan"),
+                        request_frame(1, **{"class": "none"}),
+                        request_frame(1) + request_frame(1, id="c" * 16),
+                        request_frame(1) + request_frame(2),
+                        b"".join(request_frame(n, id=f"{n:016x}") for n in range(1, 200)),
                     ],
                 ),
-                # Its error is not lost for all that is still to be read.
-                told((60_000_000).to_bytes(4, "big"), bytes(20_000_000)),
+                # The error is not lost although much input is still unread.
+                send_bad_input((60_000_000).to_bytes(4, "big"), bytes(20_000_000)),
             )
             assert len(world.invokers[0].runs()) <= 1
             usual = await world.client()
-            assert (await usual.ask(asked(1)))[2] == 0
+            assert (await usual.ask(request_frame(1)))[2] == 0
 
-    played(scene)
+    run_scene(scene)
 
 
-def test_requests_taken_back_at_once_reach_nobody_and_cost_no_forward():
+def test_requests_cancelled_at_once_cause_no_forward():
     async def scene():
         async with World([StandIn()]) as world:
             client = await world.client()
-            client.writer.write(b"".join(asked(n, id=f"{n:016x}") + frame(18, n) for n in range(1, 300)))
-            assert (await client.ask(asked(300)))[1:3] == (300, 0)
-            assert len(world.invokers[0].runs()) == 1 and not world.node.door.ids.keys()
+            client.writer.write(b"".join(request_frame(n, id=f"{n:016x}") + frame(18, n) for n in range(1, 300)))
+            assert (await client.ask(request_frame(300)))[1:3] == (300, 0)
+            assert len(world.invokers[0].runs()) == 1 and not world.node.server.calls_by_request_id.keys()
 
-    played(scene)
+    run_scene(scene)
 
 
-def test_connections_beyond_the_bound_make_room_by_the_silent_ones():
+def test_silent_connections_are_evicted_beyond_the_connection_limit():
     async def scene():
         async with World([StandIn()], limits={"memory_mb": 64, "sockets": 64}) as world:
             usual = await world.client()
-            assert (await usual.ask(asked(1)))[2] == 0
+            assert (await usual.ask(request_frame(1)))[2] == 0
             silent = [await world.client() for _ in range(60)]
             await asyncio.sleep(0.05)
-            assert len(world.node.door.front.all) <= world.node.door.front.most == 35
-            assert (await usual.ask(asked(2, id="c" * 16)))[2] == 0
+            assert len(world.node.server.listener.not_closed) <= world.node.server.listener.max_connections == 35
+            assert (await usual.ask(request_frame(2, id="c" * 16)))[2] == 0
             for client in silent:
                 client.writer.close()
 
-    played(scene)
+    run_scene(scene)
 
 
-def test_the_channel_is_asked_again_from_the_last_number_and_newcomers_inherit_nothing():
+def test_the_channel_resumes_after_the_last_event_and_new_invokers_inherit_no_connections():
     async def scene():
         new = await StandIn().start()
         old = StandIn()
 
         def line(number, *hosts):
-            told = json.dumps(entry(number, *hosts)).encode()
-            return b"id: %d\ndata: %b\n\n" % (number, told)
+            data = json.dumps(entry(number, *hosts)).encode()
+            return b"id: %d\ndata: %b\n\n" % (number, data)
 
         channel = ChannelStandIn()
         async with World([old], channel) as world:
             client = await world.client()
-            assert (await client.ask(asked(1)))[2] == 0
+            assert (await client.ask(request_frame(1)))[2] == 0
             two, three = line(2, ("s-0", old.port, "removed"), ("s-1", new.port, "up")), line(3, ("s-2", 9, "draining"))
-            channel.plays = [[two, two, line(4), three[:20]], [three]]
+            channel.scripts = [[two, two, line(4), three[:20]], [three]]
             world.node.channel.wire.transport.abort()
-            while world.node.door.roster.last < 3:
+            while world.node.server.roster.last < 3:
                 await asyncio.sleep(0.01)
-            assert channel.asked[:3] == [f"Last-Event-ID: {n}" for n in (1, 1, 2)]
-            assert (await client.ask(asked(2, id="c" * 16)))[2] == 0
-            assert len(new.runs()) == 1 and len(old.runs()) == 1 and list(world.node.door.invokers) == ["s-1"]
+            assert channel.last_event_ids[:3] == [f"Last-Event-ID: {n}" for n in (1, 1, 2)]
+            assert (await client.ask(request_frame(2, id="c" * 16)))[2] == 0
+            assert len(new.runs()) == 1 and len(old.runs()) == 1 and list(world.node.server.invokers) == ["s-1"]
         new.server.close()
 
-    played(scene)
+    run_scene(scene)
 
 
-def test_a_silent_channel_is_left_for_a_new_connection():
+def test_a_silent_channel_is_replaced_by_a_new_connection():
     async def scene():
         channel = ChannelStandIn()
         async with World([StandIn()], channel):
             channel.comments, began = False, time.monotonic()
-            while len(channel.asked) < 2:
+            while len(channel.last_event_ids) < 2:
                 await asyncio.sleep(0.02)
             assert 1.0 < time.monotonic() - began < 2.5
 
-    played(scene)
+    run_scene(scene)
 
 
-def test_an_invoker_that_stops_half_way_is_noticed_before_the_time_is_up():
+def test_an_incomplete_answer_is_detected_before_the_deadline():
     async def scene():
         half = StandIn(lambda command, tag, body: f"{tag} HIT - 50\r\nabc".encode() if command == "exec" else None)
         async with World([half, StandIn()]) as world:
             client, began = await world.client(), time.monotonic()
             for n in range(1, 5):
-                assert (await client.ask(asked(n, id=f"{n:016x}", key=f"{n:016x}", wait="1900")))[2] == 0
+                assert (await client.ask(request_frame(n, id=f"{n:016x}", key=f"{n:016x}", wait="1900")))[2] == 0
             assert half.runs() and time.monotonic() - began < 1.7
 
-    played(scene)
+    run_scene(scene)
 
 
-def started(tmp_path, port, **change):
+def start_process(tmp_path, port, **change):
     path = tmp_path / "config.json"
     path.write_text(json.dumps(configuration(listen=f"127.0.0.1:{port}", **change)))
     return path, controller_process(path, stderr=subprocess.PIPE)
 
 
-def test_signals_a_new_channel_by_sighup_a_broken_file_refused_and_a_graceful_end(tmp_path):
+def test_sighup_changes_the_channel_or_refuses_a_broken_file_and_sigterm_stops_gracefully(tmp_path):
     async def scene():
         one = await StandIn(lambda command, tag, body: slow(tag)).start()
         channels = [await ChannelStandIn().start() for _ in range(2)]
@@ -362,9 +364,9 @@
         free.close()
         await free.wait_closed()
         known = {"cursor": 1, "cmds": [entry(1, ("s-0", one.port, "up"), whole=True)]}
-        path, process = started(tmp_path, port, channel=f"127.0.0.1:{channels[0].port}", known=known)
+        path, process = start_process(tmp_path, port, channel=f"127.0.0.1:{channels[0].port}", known=known)
         try:
-            while not channels[0].asked:
+            while not channels[0].last_event_ids:
                 await asyncio.sleep(0.02)
             path.write_text("{")
             process.send_signal(signal.SIGHUP)
@@ -375,20 +377,20 @@
                 )
             )
             process.send_signal(signal.SIGHUP)
-            while not channels[1].asked:
+            while not channels[1].last_event_ids:
                 await asyncio.sleep(0.02)
             client = Client(*await asyncio.open_connection("127.0.0.1", port))
-            client.writer.write(asked(1))
+            client.writer.write(request_frame(1))
             process.send_signal(signal.SIGTERM)
             await asyncio.sleep(0.3)
             late = Client(*await asyncio.open_connection("127.0.0.1", port))
-            late.writer.write(asked(1, id="c" * 16))
+            late.writer.write(request_frame(1, id="c" * 16))
             for each in (client, late):
                 got = [await asyncio.wait_for(each.answer(), 5) for _ in range(2)]
                 assert sorted(answer[0] for answer in got) == [17, 48] and any(a[:3] == (17, 1, 0) for a in got)
             assert await asyncio.to_thread(process.wait, 5) == 0
-            said = process.stderr.read()
-            assert "new configuration refused" in said and "Traceback" not in said and "stopped" in said
+            log_text = process.stderr.read()
+            assert "new configuration refused" in log_text and "Traceback" not in log_text and "stopped" in log_text
         finally:
             process.kill()
             process.wait()
@@ -398,10 +400,10 @@
         await asyncio.sleep(0.5)
         return f"{tag} HIT - 0\r\n\r\n".encode()
 
-    played(scene)
+    run_scene(scene)
 
 
-def test_a_bad_start_is_one_line_and_status_2(tmp_path):
+def test_a_failed_start_prints_one_line_and_exits_with_status_2(tmp_path):
     path = tmp_path / "bad.json"
     path.write_text(json.dumps({"settings": {}}))
     for env in ({}, {"RELAY_CONFIG": str(tmp_path / "none")}, {"RELAY_CONFIG": str(path)}):
