--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -58,7 +58,7 @@
     virtual.run(90_000, lambda: virtual.all_hold_gone(gone))
     virtual.watch = lambda member, event: None
     sides = sides_of(sorted(virtual.members))
-    virtual.links.part("partition", sides)
+    virtual.links.partition("partition", sides)
     apart = virtual.run(120_000, lambda: all(virtual.alike(side) for side in sides), 500)
     virtual.links.heal("partition")
     whole = virtual.run(240_000, virtual.alike)
--- a/sprucespool/adapter/session.py
+++ b/sprucespool/adapter/session.py
@@ -4,7 +4,7 @@
 
 import traceback
 
-from sprucespool.adapter.door import READERS, Door
+from sprucespool.adapter.translator import READERS, Translator
 from sprucespool.adapter.wire import Fields, Malformed, Settings
 
 LAST_LIST = 15
@@ -16,7 +16,7 @@
         self.sink = sink
         self.notes = notes
         self.number = 0
-        self.doors: dict[str, Door] = {}
+        self.translators: dict[str, Translator] = {}
         self.lists: dict[int, list[Fields]] = {}
 
     def run(self) -> int:
@@ -97,20 +97,20 @@
         if kind == "CONFIGURE":
             pairs = Fields(line)
             seed = pairs.whole("salt")
-            self.doors.pop(name, None)
+            self.translators.pop(name, None)
             pending.pop(name, None)
-            self.doors[name] = Door(Settings(pairs.pairs), seed)
+            self.translators[name] = Translator(Settings(pairs.pairs), seed)
             return
-        door = self.doors.get(name)
-        if door is None:
+        translator = self.translators.get(name)
+        if translator is None:
             raise Malformed(f"expected CONFIGURE for {name} before {kind}")
         if kind == "TEARDOWN":
-            del self.doors[name]
+            del self.translators[name]
             pending.pop(name, None)
         elif kind == "TOPOLOGY":
-            pending.setdefault(name, []).append(door.topology(Fields(line), self.lists))
+            pending.setdefault(name, []).append(translator.topology(Fields(line), self.lists))
         elif kind in READERS:
-            event = READERS[kind](door, Fields(line))
+            event = READERS[kind](translator, Fields(line))
             if event is not None:
                 pending.setdefault(name, []).append(event)
         else:
@@ -119,16 +119,16 @@
     def _reply(self, now: float, pending: dict[str, list]):
         lines = []
         for name, events in pending.items():
-            door = self.doors[name]
+            translator = self.translators[name]
             try:
-                written = [door.line(action) for action in door.controller.handle(now, events)]
+                written = [translator.line(action) for action in translator.controller.handle(now, events)]
             except Exception as problem:  # the bench wants any failure of the decision code told on the wire
                 frame = traceback.extract_tb(problem.__traceback__)[-1]
                 written = [
                     f"INTERNAL_ERROR message={type(problem).__name__}: {problem} "
                     f"at {frame.name} line {frame.lineno}".replace("\n", " ")
                 ]
-            door.tidy()
+            translator.tidy()
             if written:
                 lines.append(f"INSTANCE i={name}")
                 lines += written
--- a/sprucespool/adapter/door.py
+++ b/sprucespool/adapter/translator.py
@@ -118,7 +118,7 @@
         raise Malformed(f"expected each of {what} under a name of its own, got {', '.join(names)}")
 
 
-class Door:
+class Translator:
     __slots__ = (
         "controller",
         "deployment",
@@ -308,11 +308,11 @@
     return text.replace("\n", " ").replace("\r", " ")
 
 
-WRITERS: dict[type, Callable[[Door, Any], str]] = {
-    it.Forward: Door._write_forward,
-    it.Shed: Door._write_shed,
-    it.Fail: Door._write_fail,
-    it.CallOff: Door._write_call_off,
+WRITERS: dict[type, Callable[[Translator, Any], str]] = {
+    it.Forward: Translator._write_forward,
+    it.Shed: Translator._write_shed,
+    it.Fail: Translator._write_fail,
+    it.CallOff: Translator._write_call_off,
     it.Order: lambda _, a: f"PIN_UP invoker={a.invoker.name} image={a.model.name} howMany={a.copies}",
     it.Unload: lambda _, a: f"FREE_UP invoker={a.invoker.name} image={a.model.name}",
     it.SetTimer: lambda _, a: f"NOTIFY_ME offset={a.after:.3f} handle={a.token}",
@@ -324,12 +324,12 @@
     it.Log: lambda _, a: f"TRACE message={_plain(a.text)}",
 }
 READERS = {
-    "ARRIVAL": Door.arrived,
-    "LAPSED": Door.lapsed,
-    "DONE": Door.done,
-    "FIRST": Door.first,
-    "SAMPLED": Door.sampled,
-    "STANDS": Door.stands,
-    "ALARM": Door.alarm,
-    "PEER_DATA": Door.peer_data,
+    "ARRIVAL": Translator.arrived,
+    "LAPSED": Translator.lapsed,
+    "DONE": Translator.done,
+    "FIRST": Translator.first,
+    "SAMPLED": Translator.sampled,
+    "STANDS": Translator.stands,
+    "ALARM": Translator.alarm,
+    "PEER_DATA": Translator.peer_data,
 }
--- a/sprucespool/cli/main.py
+++ b/sprucespool/cli/main.py
@@ -12,7 +12,7 @@
 from rich.console import Console
 from rich.table import Table as RichTable
 
-from sprucespool.settings import Refused, read
+from sprucespool.settings import SettingsError, read
 from sprucespool.settings.controller import ControllerPlan, deployment
 from sprucespool.settings.kdl import DURATIONS, quantity
 
@@ -48,7 +48,7 @@
         raise _refuse(f"{path}: {problem.strerror or problem}") from None
     except UnicodeDecodeError:
         raise _refuse(f"{path}: expected UTF-8 text") from None
-    except Refused as problem:
+    except SettingsError as problem:
         raise _refuse(str(problem)) from None
 
 
@@ -512,7 +512,7 @@
 
     try:
         out.write_text(report(folder), encoding="utf-8")
-    except (Refused, ValueError) as problem:
+    except (SettingsError, ValueError) as problem:
         raise _refuse(str(problem)) from None
     except OSError as problem:
         raise _refuse(f"{problem.filename or folder}: {problem.strerror or problem}") from None
--- a/sprucespool/daemon/roster.py
+++ b/sprucespool/daemon/roster.py
@@ -13,7 +13,7 @@
 from sprucespool.gateway import messages as ms
 from sprucespool.grpc.events import Answered, Drained, Message
 from sprucespool.grpc.status import Limits, Metadata
-from sprucespool.settings import Refused, read
+from sprucespool.settings import SettingsError, read
 from sprucespool.settings.controller import Invokers, address
 from sprucespool.transport.plan import Backoff, PoolLimits
 from sprucespool.transport.pool import Heard, Pool, PoolCall
@@ -49,7 +49,7 @@
             self.seen = mark
             with open(self.path, encoding="utf-8") as source:
                 found = read(Invokers, source.read(), self.path)
-        except (OSError, UnicodeDecodeError, Refused) as problem:
+        except (OSError, UnicodeDecodeError, SettingsError) as problem:
             # Told once for each state of the file, not four times a second.
             if str(problem) != self.complained:
                 self.log.error("roster file refused", why=str(problem))
--- a/sprucespool/emulator/fleet.py
+++ b/sprucespool/emulator/fleet.py
@@ -330,7 +330,7 @@
 
     def part(self, sides: list[set[str]]) -> None:
         """Controllers and the roster in parts that do not reach each other; invokers are reached by all."""
-        self.links.part("partition", sides)
+        self.links.partition("partition", sides)
         names = set(self.members)
         self.faulted([sorted(side & names) for side in sides if side & names])
 
--- a/sprucespool/emulator/hunt.py
+++ b/sprucespool/emulator/hunt.py
@@ -223,7 +223,7 @@
 def _part(world: HuntWorld, fault: Fault, name: str, both: Both):
     def begin():
         sides = [fault.names, world.names - fault.names]
-        world.links.part(name, sides)
+        world.links.partition(name, sides)
         world.parted[name] = [sorted(side) for side in sides]
         world.changed()
 
--- a/sprucespool/faults.py
+++ b/sprucespool/faults.py
@@ -31,7 +31,7 @@
             raise ValueError("expected delay, jitter and bandwidth of 0 or more and a loss from 0 to 1")
 
 
-WELL = LinkState()
+HEALTHY = LinkState()
 
 
 @dataclass(slots=True)
@@ -42,15 +42,15 @@
     targets: frozenset[str] | None
     state: LinkState
 
-    def holds(self, source: str, target: str) -> bool:
+    def matches(self, source: str, target: str) -> bool:
         return (self.sources is None or source in self.sources) and (self.targets is None or target in self.targets)
 
 
 @dataclass(slots=True)
 class Links:
-    """What holds between any two processes: the last rule that speaks of them, else `usual`."""
+    """What holds between any two processes: the last rule that speaks of them, else `default`."""
 
-    usual: LinkState = WELL
+    default: LinkState = HEALTHY
     rules: dict[str, list[Rule]] = field(default_factory=dict)
     # Processes that stand at the place of another name: its faults are theirs.
     alias: dict[str, str] = field(default_factory=dict)
@@ -59,9 +59,9 @@
         source, target = self.alias.get(source, source), self.alias.get(target, target)
         for rules in reversed(self.rules.values()):
             for rule in rules:
-                if rule.holds(source, target):
+                if rule.matches(source, target):
                     return rule.state
-        return self.usual
+        return self.default
 
     def put(
         self, name: str, one: Iterable[str] | None, other: Iterable[str] | None, state: LinkState, both: bool = True
@@ -71,7 +71,7 @@
         second = None if other is None else frozenset(other)
         self.rules[name] = [Rule(first, second, state)] + ([Rule(second, first, state)] if both else [])
 
-    def part(self, name: str, sides: Iterable[Iterable[str]], cut: str = "silent") -> None:
+    def partition(self, name: str, sides: Iterable[Iterable[str]], cut: str = "silent") -> None:
         """No side reaches another."""
         groups = [frozenset(side) for side in sides]
         self.rules[name] = [
--- a/sprucespool/lab/hunting.py
+++ b/sprucespool/lab/hunting.py
@@ -98,5 +98,5 @@
 
 
 def opened(path: Path) -> Course:
-    """Raises OSError, Refused with line and expectation."""
+    """Raises OSError, SettingsError with line and expectation."""
     return read(Course, path.read_text(encoding="utf-8"), str(path))
--- a/sprucespool/lab/report.py
+++ b/sprucespool/lab/report.py
@@ -139,7 +139,7 @@
 
 
 def report(folder: Path) -> str:
-    """The page. Raises OSError, Refused, ResultsError."""
+    """The page. Raises OSError, SettingsError, ResultsError."""
     import jinja2
 
     text = (folder / "plan.kdl").read_text(encoding="utf-8")
--- a/sprucespool/lab/sweep.py
+++ b/sprucespool/lab/sweep.py
@@ -162,7 +162,7 @@
     broken: list[str] = []
     if job.case == "parts":
         names = sorted(world.members)
-        world.links.part("parts", [names[n::3] for n in range(3)])
+        world.links.partition("parts", [names[n::3] for n in range(3)])
         world.run(60_000.0)
         world.links.heal("parts")
         settled = world.run(120_000.0, world.alike)
--- a/sprucespool/lab/world.py
+++ b/sprucespool/lab/world.py
@@ -186,7 +186,7 @@
             **kinds,
         )
         self.share = self.views_kept
-        self.links.usual = WAY
+        self.links.default = WAY
         # Over a connection what is lost is sent again.
         for n, distance in enumerate(day.distances if day.group else []):
             self.links.put(
@@ -931,7 +931,7 @@
         if step.what == "heal":
             self.links.heal(step.name)
         elif len(step.sides) > 2:
-            self.links.part(step.name, step.sides, step.state.cut)
+            self.links.partition(step.name, step.sides, step.state.cut)
         else:
             one, other = step.sides
             self.links.put(step.name, one, other, step.state, step.both)
--- a/sprucespool/links.py
+++ b/sprucespool/links.py
@@ -10,7 +10,7 @@
     """The peer broke the protocol or a limit: the whole connection ends, with this reason."""
 
 
-class IllegalMove(ValueError):
+class SendNotAllowed(ValueError):
     """What the protocol does not allow this end to send on the connection now."""
 
 
--- a/sprucespool/relay/configuration.py
+++ b/sprucespool/relay/configuration.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from sprucespool import interface as it
-from sprucespool.adapter.door import deployment
+from sprucespool.adapter.translator import deployment
 from sprucespool.adapter.wire import Malformed, Settings
 from sprucespool.links import address
 
--- a/sprucespool/relay/frames.py
+++ b/sprucespool/relay/frames.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from sprucespool import interface as it
-from sprucespool.links import IllegalMove, LinkError
+from sprucespool.links import SendNotAllowed, LinkError
 from sprucespool.relay.rest import Rest
 
 HEAD, NAME_SIZE, VALUE_SIZE = 4, 1, 2
@@ -245,7 +245,7 @@
 
     def _answer(self, stream: int, payload: bytes):
         if stream not in self.open:
-            raise IllegalMove(f"no request is open on stream {stream}")
+            raise SendNotAllowed(f"no request is open on stream {stream}")
         self.open.discard(stream)
         self._write(ANSWER, stream, payload)
 
--- a/sprucespool/relay/lines.py
+++ b/sprucespool/relay/lines.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from sprucespool import interface as it
-from sprucespool.links import IllegalMove, LinkError
+from sprucespool.links import SendNotAllowed, LinkError
 from sprucespool.relay.rest import Rest
 
 LONGEST_LINE, LARGEST_BODY = 4096, 262_144
@@ -122,7 +122,7 @@
 
     def _ask(self, kind: str, tag: str, line: _Line):
         if tag in self.used:
-            raise IllegalMove(f"{tag} was asked with on this connection")
+            raise SendNotAllowed(f"{tag} was asked with on this connection")
         self.open[tag], self.used[tag], self.out[tag] = kind, None, line
 
     def run(
--- a/sprucespool/settings/__init__.py
+++ b/sprucespool/settings/__init__.py
@@ -1,5 +1,5 @@
-"""KDL documents read into checked trade objects. Text in, objects or one clear `Refused` out; no I/O."""
+"""KDL documents read into checked trade objects. Text in, objects or one clear `SettingsError` out; no I/O."""
 
-from sprucespool.settings.kdl import Bytes, Duration, Refused, read, write
+from sprucespool.settings.kdl import Bytes, Duration, SettingsError, read, write
 
-__all__ = ["Bytes", "Duration", "Refused", "read", "write"]
+__all__ = ["Bytes", "Duration", "SettingsError", "read", "write"]
--- a/sprucespool/settings/kdl.py
+++ b/sprucespool/settings/kdl.py
@@ -24,7 +24,7 @@
 _QUANTITY = re.compile(r"([0-9]+(?:\.[0-9]+)?) ?([A-Za-z]+)\Z")
 
 
-class Refused(Exception):
+class SettingsError(Exception):
     """What is wrong with a document, on one line: place, what was expected, what was found."""
 
 
@@ -34,9 +34,9 @@
     line: int | None
     path: str
 
-    def error(self, why: str) -> Refused:
+    def error(self, why: str) -> SettingsError:
         at = self.file if self.line is None else f"{self.file}:{self.line}"
-        return Refused(f"{at}: {self.path}: {why}" if self.path else f"{at}: {why}")
+        return SettingsError(f"{at}: {self.path}: {why}" if self.path else f"{at}: {why}")
 
 
 def _scan(text: str) -> tuple[list[int], list[int | None]]:
@@ -272,7 +272,7 @@
 
 
 def read(cls: type, text: str, file: str) -> Any:
-    """Decode a document whose top-level nodes are the fields of `cls`. Raises Refused."""
+    """Decode a document whose top-level nodes are the fields of `cls`. Raises SettingsError."""
     nodes, lines = _parse(text, file)
     return _fill(cls, _Place(file, None, ""), [], {}, nodes, lines)
 
--- a/sprucespool/standin/rig.py
+++ b/sprucespool/standin/rig.py
@@ -138,7 +138,7 @@
     # Links
 
     def part(self, sides: list[list[str]], cut: str = "silent") -> None:
-        self.relays.links.part("partition", sides, cut)
+        self.relays.links.partition("partition", sides, cut)
         self.watch.note(seen.Faulted(now_ms(), sides=sides))
         self.relays.changed()
 
--- a/sprucespool/standin/schedule.py
+++ b/sprucespool/standin/schedule.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from sprucespool.emulator.worker import WorkerFacts
-from sprucespool.faults import WELL, LinkState
+from sprucespool.faults import HEALTHY, LinkState
 from sprucespool.standin.invoker import Fault
 from sprucespool.standin.script import AT_LINKS, Day, Machines, Trouble
 
@@ -57,7 +57,7 @@
     # Of a fault of links: its name, the sides it parts, and what holds between them.
     name: str = ""
     sides: tuple[frozenset[str], ...] = ()
-    state: LinkState = WELL
+    state: LinkState = HEALTHY
     both: bool = True
 
 
--- a/sprucespool/standin/stage.py
+++ b/sprucespool/standin/stage.py
@@ -404,7 +404,7 @@
         if step.what == "heal":
             links.heal(step.name)
         elif len(step.sides) > 2:
-            links.part(step.name, step.sides, step.state.cut)
+            links.partition(step.name, step.sides, step.state.cut)
         else:
             one, other = step.sides
             links.put(step.name, one, other, step.state, step.both)
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -2,7 +2,7 @@
 
 import json
 
-from sprucespool.adapter.door import deployment
+from sprucespool.adapter.translator import deployment
 from sprucespool.adapter.wire import Settings
 from sprucespool.relay.configuration import flat
 from sprucespool.relay.frames import written
--- a/tests/test_lab_days.py
+++ b/tests/test_lab_days.py
@@ -27,7 +27,7 @@
 from sprucespool.lab.saving import SavedError
 from sprucespool.lab.sweep import Experiment, Job, Results, ResultsError, Row, SweepPlan
 from sprucespool.policy import Controller
-from sprucespool.settings import Refused, read
+from sprucespool.settings import SettingsError, read
 from sprucespool.standin.badlinks import BadLinks
 from sprucespool.standin.baselines import DECIDERS, GATEWAYS
 from sprucespool.standin.recorded import with_recorded
@@ -189,7 +189,7 @@
     for n in range(6):
         span = [model for at, model in moved if 10_000 * n <= at < 10_000 * (n + 1)]
         assert max(set(span), key=span.count) == n
-    with pytest.raises(Refused, match="expected a wave from 0 to 1"):
+    with pytest.raises(SettingsError, match="expected a wave from 0 to 1"):
         asked("wave=1.5")
 
 
@@ -430,7 +430,7 @@
 
 def test_traffic_comes_at_a_rate_or_of_users():
     for wrong in ("rate=5.0 users=3", "models=4", 'users=3 think="0s"'):
-        with pytest.raises(Refused, match="rate above 0 or users|think above 0"):
+        with pytest.raises(SettingsError, match="rate above 0 or users|think above 0"):
             script(f'name "x"\ntraffic "line" {wrong}\n')
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -211,7 +211,7 @@
     virtual.run(3_000)
     names = sorted(virtual.members)
     sides = [set(names[n::3]) for n in range(3)]
-    virtual.links.part("partition", sides)
+    virtual.links.partition("partition", sides)
     noted.append(seen.Faulted(virtual.now, sides=[sorted(side) for side in sides]))
     virtual.run(8_000)
     for n, side in enumerate(sides):
@@ -223,7 +223,7 @@
         noted += [seen.Ended(virtual.now, some[1], "left"), seen.Ended(virtual.now, some[2], "killed")]
         side -= {some[1], some[2]}
         side.add(f"new{n}")
-        virtual.links.part("partition", sides)
+        virtual.links.partition("partition", sides)
         virtual.join(f"new{n}", f"an{n}", seeds=[virtual.members[some[3]].address], number=7, of=300)
         noted.append(seen.Began(virtual.now, f"new{n}"))
     noted.append(seen.Faulted(virtual.now, sides=[sorted(side) for side in sides]))
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -114,7 +114,7 @@
         b"\x00\x00\x00\x12\x11\x00\x00\x00\x01\x0e\x01\x05after\x00\x03121"
         b"\x00\x00\x00\x09\x11\x00\x00\x00\x02\x00\x00\x00\xff"
     )
-    with pytest.raises(fr.IllegalMove):
+    with pytest.raises(fr.SendNotAllowed):
         link.failed(1)
 
 
@@ -174,7 +174,7 @@
     link = ln.InvokerLink(lambda: 0.0)
     run(link)
     assert link.give_up("9b1f03aa5c7e2d41") is False and link.outgoing()[0] == b""
-    with pytest.raises(ln.IllegalMove):
+    with pytest.raises(ln.SendNotAllowed):
         run(link)
     run(link, "e" * 16)
     link.outgoing()
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sprucespool.settings import Bytes, Duration, Refused, read, write
+from sprucespool.settings import Bytes, Duration, SettingsError, read, write
 from sprucespool.settings.controller import ControllerPlan, Invokers, ModelFacts, ModelTable, deployment
 from sprucespool.settings.kdl import _scan
 from sprucespool.standin.schedule import schedule
@@ -67,7 +67,7 @@
 )
 def test_what_is_wrong_is_told_with_its_line(old, new, told):
     assert GOOD.count(old) >= 1
-    with pytest.raises(Refused) as caught:
+    with pytest.raises(SettingsError) as caught:
         read(ControllerPlan, GOOD.replace(old, new, 1), "f.kdl")
     assert str(caught.value).startswith(told) and "\n" not in str(caught.value)
 
@@ -124,7 +124,7 @@
     for kind in (ControllerPlan, Invokers, Day):
         try:
             read(kind, text, "f")
-        except Refused as problem:
+        except SettingsError as problem:
             assert str(problem).startswith("f")
 
 
@@ -153,7 +153,7 @@
     ],
 )
 def test_a_group_that_can_not_be_is_refused_with_place_and_expectation(line, expected):
-    with pytest.raises(Refused) as caught:
+    with pytest.raises(SettingsError) as caught:
         read(ControllerPlan, GROUPED + line, "c.kdl")
     assert expected in str(caught.value) and "c.kdl" in str(caught.value)
 
@@ -173,5 +173,5 @@
         ('way="there"', 'way="up"'),
         ('group period="500ms"', ""),
     ):
-        with pytest.raises(Refused):
+        with pytest.raises(SettingsError):
             read(Day, text.replace(bad, expected), "d.kdl")
