--- a/sprucespool/gateway/__init__.py
+++ b/sprucespool/gateway/__init__.py
@@ -1,7 +1,7 @@
-"""The library: one controller's whole life without a socket and without a clock.
+"""The library: one complete controller without sockets or a clock.
 
-`Gateway(deployment, seed, port)` is fed what happened with its time and tells its port what to do. The same inputs
-give the same effects, so the daemon, an emulator or a test harness drive the very same object.
+`Gateway(deployment, seed, port)` takes inputs with their times and calls its port with effects to carry out. The same
+inputs always give the same effects, so the daemon, an emulator and a test harness can all drive the same class.
 """
 
 from sprucespool.gateway.core import Counts, Decider, Gateway
--- a/sprucespool/gateway/core.py
+++ b/sprucespool/gateway/core.py
@@ -1,7 +1,8 @@
-"""Ids, timers, calls, forwards and orders of one controller around the decision module.
+"""Tracks the ids, timers, calls, forwards and orders of one controller on behalf of its decision module.
 
-The module decides. What is done here is bookkeeping: every forward ends once for the module, every call ends once for
-the client, whatever order things come in. A wrong action of the module is refused, noted and counted, never passed on.
+The decision module makes the decisions; the gateway does the bookkeeping. It guarantees that each forward ends exactly
+once for the module and each call exactly once for the client, in whatever order inputs arrive. An invalid action of the
+module is refused, logged and counted, and never passed on.
 """
 
 from __future__ import annotations
@@ -21,8 +22,8 @@
 FOUND = {found.value: found for found in it.Found}
 STATUSES = {status.value: status for status in it.Status}
 NEWS = {kind.value: kind for kind in it.News}
-# The counts that ends of forwards go into.
-COUNTED = {
+# The field of Counts that is incremented when a forward ends with this outcome.
+COUNTER_BY_OUTCOME = {
     it.Outcome.FULL: "turned_away",
     it.Outcome.MISS: "missed",
     it.Outcome.ERROR: "errors",
@@ -30,19 +31,19 @@
     it.Outcome.UNCONNECTED: "unconnected",
     it.Outcome.NOT_SENT: "not_sent",
 }
-# Names kept before those that nobody uses are looked for: one-off models would else fill the memory.
-SWEEP_AT, SWEEP_INVOKERS_AT = 4096, 256
+# Number of known names at which unused ones are removed. Without this, models named only once would fill the memory.
+MODEL_SWEEP_COUNT, INVOKER_SWEEP_COUNT = 4096, 256
 
 
 class Decider(Protocol):
-    """What a decision module looks like from here; `policy.Controller` is the one that serves."""
+    """Interface of a decision module. `policy.Controller` is the production implementation."""
 
     def handle(self, now: float, events: list) -> list: ...
 
 
 @dataclass(slots=True)
 class Counts:
-    """What happened since the start, by number."""
+    """Counters since the start of the gateway."""
 
     taken: int = 0
     returned: int = 0
@@ -55,7 +56,7 @@
     orders: int = 0
     probes: int = 0
     timed_out: int = 0
-    # Forwards by how they ended, where that was neither an answer nor a time-out.
+    # Forwards that ended neither with an answer nor by a timeout, by outcome.
     turned_away: int = 0
     missed: int = 0
     errors: int = 0
@@ -68,7 +69,8 @@
     stale_inputs: int = 0
 
     def forward_ended(self, outcome: it.Outcome) -> None:
-        name = COUNTED.get(outcome)
+        """Increments the counter of this outcome, if it has one."""
+        name = COUNTER_BY_OUTCOME.get(outcome)
         if name is not None:
             setattr(self, name, getattr(self, name) + 1)
 
@@ -77,28 +79,36 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Held:
-    """A call still owed an answer, or one whose forwards have not all ended."""
+class _PendingCall:
+    """A call that still needs an answer, or whose forwards have not all ended.
+
+    `finished` is set once the call is answered, its client has left or a stream has begun. The module can then no
+    longer act on it.
+    """
 
     inference: it.Inference
-    until: float
-    out: dict[int, it.Forward] = field(default_factory=dict)
-    over: bool = False
+    deadline: float
+    in_flight: dict[int, it.Forward] = field(default_factory=dict)
+    finished: bool = False
     streaming: int | None = None
     forwards: int = 0
 
 
 @dataclass(slots=True, eq=False)
-class _Sent:
-    held: _Held
+class _SentForward:
+    """A forward that has been sent and has not ended."""
+
+    pending: _PendingCall
     forward: it.Forward
     at: float
-    # None once a stream has begun on it: neither its time-out nor the route timeout runs then.
+    # None once a stream has begun: from then on neither the forward's timeout nor the route timeout applies.
     due: float | None
 
 
 @dataclass(slots=True, eq=False)
-class _Ordered:
+class _SentOrder:
+    """A load order that has been sent and has not ended."""
+
     invoker: it.Invoker
     model: it.Model
     at: float
@@ -107,8 +117,8 @@
 class Gateway:
     """One controller. `port` is called with each effect, in order, during `take`.
 
-    `take` may be called again from within the port: the inputs wait their turn. `decider` makes the module; others
-    than the default exist for baselines and for tests that prove the rule checker.
+    The port may call `take` again: those inputs are queued until the current batch is done. `decider` creates the
+    decision module; other modules than the default serve as baselines and in tests of the rule checker.
     """
 
     def __init__(
@@ -123,58 +133,63 @@
         self.groups = {group.name: group for group in deployment.groups}
         self.tenants = {tenant.name: tenant for tenant in deployment.tenants}
         self.counts = Counts()
-        self.calls: dict[str, _Held] = {}
-        self.sent: dict[int, _Sent] = {}
-        self.orders: dict[int, _Ordered] = {}
+        self.calls: dict[str, _PendingCall] = {}
+        self.sent: dict[int, _SentForward] = {}
+        self.orders: dict[int, _SentOrder] = {}
         self.probes: dict[int, tuple[it.Invoker, float]] = {}
         self.models: dict[str, it.Model] = {}
         self.invokers: dict[str, it.Invoker] = {}
         self.boots: dict[str, tuple[str, float]] = {}
         self._numbers: dict[it.Forward, int] = {}
-        self._next, self._order_of = 0, 0
-        self._dues: list[tuple[float, int, _Held | _Sent | _Ordered | None, int]] = []
-        self._armed = math.inf
-        self._waiting: deque[tuple[float, list[ms.Input]]] = deque()
-        self._busy, self._sweep_at, self._sweep_invokers_at = False, SWEEP_AT, SWEEP_INVOKERS_AT
-        # Names that the roster lists and has not withdrawn.
+        self._last_number, self._sequence = 0, 0
+        self._schedule_heap: list[tuple[float, int, _PendingCall | _SentForward | _SentOrder | None, int]] = []
+        self._wake_at = math.inf
+        self._queued_batches: deque[tuple[float, list[ms.Input]]] = deque()
+        self._processing, self._model_sweep_count, self._invoker_sweep_count = (
+            False,
+            MODEL_SWEEP_COUNT,
+            INVOKER_SWEEP_COUNT,
+        )
+        # Names of the invokers that the roster lists and has not removed.
         self._listed: set[str] = set()
-        # What ended in the batch at hand: the module may act on an event before the one that told it of the end.
-        self._ended_now: set[str] = set()
-        self._late: list[_Held] = []
+        # Calls that finished in the current batch. The module may still act on one of them while it handles an event
+        # that precedes the event that reports the end.
+        self._finished_in_batch: set[str] = set()
+        self._overdue: list[_PendingCall] = []
 
     @property
     def owed(self) -> int:
-        """Calls that still have no final answer, and streams that have not ended."""
-        return sum(not held.over or held.streaming is not None for held in self.calls.values())
+        """Number of calls without a final answer, plus streams that have not ended."""
+        return sum(not pending.finished or pending.streaming is not None for pending in self.calls.values())
 
     def take(self, now: float, inputs: list[ms.Input]) -> None:
-        """Everything that happens enters here, with its time (ms; it must not go back)."""
-        self._waiting.append((now, inputs))
-        if self._busy:
+        """Processes a batch of inputs that occurred at `now` (ms; must not decrease between calls)."""
+        self._queued_batches.append((now, inputs))
+        if self._processing:
             return
-        self._busy = True
+        self._processing = True
         try:
-            while self._waiting:
-                at, batch = self._waiting.popleft()
-                self._batch(at, batch)
+            while self._queued_batches:
+                at, batch = self._queued_batches.popleft()
+                self._process_batch(at, batch)
         finally:
-            self._busy = False
+            self._processing = False
 
-    def _batch(self, now: float, inputs: list[ms.Input]):
+    def _process_batch(self, now: float, inputs: list[ms.Input]):
         events: list = []
-        self._ended_now.clear()
-        for given in inputs:
-            READERS[type(given)](self, now, given, events)
-        while events or self._late:
+        self._finished_in_batch.clear()
+        for message in inputs:
+            INPUT_HANDLERS[type(message)](self, now, message, events)
+        while events or self._overdue:
             if not events:
-                # Only now: after a stall the module's own due time comes up in the same batch.
+                # The module goes first: after a stall its own timer may be due in this batch and answer these calls.
                 self._answer_late(now, events)
                 continue
             try:
                 actions = self.module.handle(now, events)
-            except Exception as problem:  # a fault of the module must not take the program down with it
+            except Exception as error:  # an error in the module must not stop the process
                 self.counts.module_faults += 1
-                self.port(ms.Note(f"{type(problem).__name__}: {problem}", fault=True))
+                self.port(ms.Note(f"{type(error).__name__}: {error}", fault=True))
                 actions = [
                     it.Fail(event.inference)
                     for event in events
@@ -182,129 +197,131 @@
                 ]
             events = []
             for action in actions:
-                WRITERS[type(action)](self, now, action, events)
-        if len(self.invokers) >= self._sweep_invokers_at:
-            # Only now: until the module has heard of it, it may still name one that the batch withdraws.
+                ACTION_HANDLERS[type(action)](self, now, action, events)
+        if len(self.invokers) >= self._invoker_sweep_count:
+            # Only after the module has processed the batch: until then it may name an invoker that the batch removes.
             self._sweep_invokers()
-        if self._dues and self._dues[0][0] < self._armed:
-            self._armed = self._dues[0][0]
-            self.port(ms.WakeAt(self._armed))
+        if self._schedule_heap and self._schedule_heap[0][0] < self._wake_at:
+            self._wake_at = self._schedule_heap[0][0]
+            self.port(ms.WakeAt(self._wake_at))
 
     def _answer_late(self, now: float, events: list):
-        late, self._late = self._late, []
-        for held in late:
-            if not held.over:
+        late, self._overdue = self._overdue, []
+        for pending in late:
+            if not pending.finished:
                 self.counts.overdue += 1
-                self.port(ms.Note("no answer of the module in time", fault=True, call=held.inference.name))
-                self._answer_failed(now, held)
-                events.append(it.Departed(held.inference))
-
-    def _number(self) -> int:
-        self._next += 1
-        return self._next
-
-    def _due(self, at: float, what: _Held | _Sent | _Ordered | None, token: int = 0):
-        self._order_of += 1
-        heapq.heappush(self._dues, (at, self._order_of, what, token))
-
-    def _refuse(self, why: str, call: str):
-        if call in self._ended_now:
+                self.port(
+                    ms.Note("the module gave no answer before the ttl ran out", fault=True, call=pending.inference.name)
+                )
+                self._answer_failed(now, pending)
+                events.append(it.Departed(pending.inference))
+
+    def _new_number(self) -> int:
+        self._last_number += 1
+        return self._last_number
+
+    def _schedule(self, at: float, what: _PendingCall | _SentForward | _SentOrder | None, token: int = 0):
+        self._sequence += 1
+        heapq.heappush(self._schedule_heap, (at, self._sequence, what, token))
+
+    def _refuse_action(self, why: str, call: str):
+        if call in self._finished_in_batch:
             return
         self.counts.refused_actions += 1
         self.port(ms.Note(f"refused: {why}", fault=True, call=call))
 
     # Inputs
 
-    def _call(self, now: float, given: ms.Call, events: list):
-        group = self.groups.get(given.group)
-        tenant = self.tenants.get(given.tenant)
+    def _call_arrived(self, now: float, message: ms.Call, events: list):
+        group = self.groups.get(message.group)
+        tenant = self.tenants.get(message.tenant)
         why = (
-            f"the call id {given.call!r} is in use"
-            if given.call in self.calls
-            else f"no model group {given.group!r} here"
+            f"the call id {message.call!r} is in use"
+            if message.call in self.calls
+            else f"no model group {message.group!r} here"
             if group is None
-            else f"no tenant {given.tenant!r} here"
-            if given.tenant and tenant is None
+            else f"no tenant {message.tenant!r} here"
+            if message.tenant and tenant is None
             else ""
         )
         if why or group is None:
             self.counts.rejected += 1
-            return self.port(ms.Rejected(given.call, why))
+            return self.port(ms.Rejected(message.call, why))
         self.counts.taken += 1
         inference = it.Inference(
-            given.call,
+            message.call,
             group,
-            self._model(given.model),
+            self._model(message.model),
             tenant,
-            given.ttl,
-            given.work,
-            given.memory_mb,
-            given.lanes,
-            given.load_time,
-            given.repeat,
-            given.write,
-            given.zones,
-            given.waited,
+            message.ttl,
+            message.work,
+            message.memory_mb,
+            message.lanes,
+            message.load_time,
+            message.repeat,
+            message.write,
+            message.zones,
+            message.waited,
         )
-        held = self.calls[given.call] = _Held(inference, now + given.ttl)
-        # Against a module that forgets one: answered all the same when its client's time is up.
-        self._due(held.until, held)
+        pending = self.calls[message.call] = _PendingCall(inference, now + message.ttl)
+        # Guards against a module that forgets the call: it is failed when its ttl runs out.
+        self._schedule(pending.deadline, pending)
         events.append(it.Arrived(inference))
 
     def _model(self, name: str) -> it.Model:
         if name not in self.models:
-            if len(self.models) >= self._sweep_at:
-                used = {held.inference.model for held in self.calls.values()}
+            if len(self.models) >= self._model_sweep_count:
+                used = {pending.inference.model for pending in self.calls.values()}
                 used |= {order.model for order in self.orders.values()}
                 self.models = {n: m for n, m in self.models.items() if m.belief is not None or m in used}
-                self._sweep_at = max(SWEEP_AT, 2 * len(self.models))
+                self._model_sweep_count = max(MODEL_SWEEP_COUNT, 2 * len(self.models))
             self.models[name] = it.Model(name)
         return self.models[name]
 
-    def _left(self, now: float, given: ms.Left, events: list):
-        held = self.calls.get(given.call)
-        if held is None:
+    def _client_left(self, now: float, message: ms.Left, events: list):
+        pending = self.calls.get(message.call)
+        if pending is None:
             self.counts.stale_inputs += 1
             return
-        if held.streaming is not None:
-            sent = self.sent[held.streaming]
-            self._recall(held.streaming, sent)
-            self._end(now, held.streaming, it.Outcome.CALLED_OFF, events)
+        if pending.streaming is not None:
+            sent = self.sent[pending.streaming]
+            self._recall(pending.streaming, sent)
+            self._end_forward(now, pending.streaming, it.Outcome.CALLED_OFF, events)
             self.counts.left += 1
-        elif not held.over:
-            self._over(held)
+        elif not pending.finished:
+            self._finish(pending)
             self.counts.left += 1
-            events.append(it.Departed(held.inference))
-            self._forget(held)
+            events.append(it.Departed(pending.inference))
+            self._remove_if_done(pending)
 
-    def _first(self, now: float, given: ms.FirstResult, events: list):
-        sent = self.sent.get(given.forward)
-        if sent is None or sent.held.over:
+    def _first_result(self, now: float, message: ms.FirstResult, events: list):
+        sent = self.sent.get(message.forward)
+        if sent is None or sent.pending.finished:
             self.counts.stale_inputs += 1
             return
-        held, sent.due = sent.held, None
-        held.streaming = given.forward
-        self._over(held)
-        self.port(ms.StreamBegun(held.inference.name, given.forward))
+        pending, sent.due = sent.pending, None
+        pending.streaming = message.forward
+        self._finish(pending)
+        self.port(ms.StreamBegun(pending.inference.name, message.forward))
         events.append(it.Streaming(sent.forward, now - sent.at))
 
-    def _forward_ended(self, now: float, given: ms.ForwardEnded, events: list):
-        if given.forward not in self.sent:
-            # Timed out or called off a moment ago: the module has been told already.
+    def _forward_ended(self, now: float, message: ms.ForwardEnded, events: list):
+        if message.forward not in self.sent:
+            # It has already timed out or been called off, and the module knows.
             self.counts.stale_inputs += 1
             return
-        self._end(
+        self._end_forward(
             now,
-            given.forward,
-            OUTCOMES[given.outcome],
+            message.forward,
+            OUTCOMES[message.outcome],
             events,
-            FOUND[given.found],
-            given.load_failed,
-            given.same_model,
-            given.report,
+            FOUND[message.found],
+            message.load_failed,
+            message.same_model,
+            message.report,
         )
 
-    def _end(
+    def _end_forward(
         self,
         now: float,
         number: int,
@@ -315,192 +332,197 @@
         same_model=None,
         report=None,
     ):
-        """The one place where a forward ends, and with it perhaps its call."""
+        """Ends a forward, and its call if this was the call's result. Forwards end nowhere else."""
         self.counts.forward_ended(outcome)
         sent = self.sent.pop(number)
-        held, name = sent.held, sent.held.inference.name
-        del held.out[number], self._numbers[sent.forward]
-        if held.streaming == number:
-            held.streaming = None
+        pending, name = sent.pending, sent.pending.inference.name
+        del pending.in_flight[number], self._numbers[sent.forward]
+        if pending.streaming == number:
+            pending.streaming = None
             whole = outcome is it.Outcome.RETURNED
             self.counts.returned += whole
             self.counts.broken += not whole and outcome is not it.Outcome.CALLED_OFF
             self.port(ms.StreamEnded(name, number, whole))
-        elif outcome is it.Outcome.RETURNED and not held.over:
+        elif outcome is it.Outcome.RETURNED and not pending.finished:
             self.counts.returned += 1
-            self._over(held)
+            self._finish(pending)
             self.port(ms.AnswerReturned(name, number))
-        final = held.over
+        final = pending.finished
         events.append(
             it.Ended(sent.forward, outcome, final, now - sent.at, found, load_failed, same_model, report or {})
         )
-        self._forget(held)
+        self._remove_if_done(pending)
 
-    def _over(self, held: _Held):
-        held.over = True
-        self._ended_now.add(held.inference.name)
+    def _finish(self, pending: _PendingCall):
+        pending.finished = True
+        self._finished_in_batch.add(pending.inference.name)
 
-    def _forget(self, held: _Held):
-        if held.over and not held.out:
-            self.calls.pop(held.inference.name, None)
+    def _remove_if_done(self, pending: _PendingCall):
+        if pending.finished and not pending.in_flight:
+            self.calls.pop(pending.inference.name, None)
 
-    def _roster(self, now: float, given: ms.Roster, events: list):
+    def _roster(self, now: float, message: ms.Roster, events: list):
         entries = []
-        for row in given.rows:
+        for row in message.rows:
             boot, started = self.boots.get(row.invoker, ("", 0.0))
             if row.invoker not in self.boots or boot != row.boot:
-                # Kept from the first telling: ages told later differ by what the way took, processes do not.
+                # The start time is computed once per process: ages reported later vary with the transfer delay.
                 started = now - row.age if row.age is not None else 0.0
                 self.boots[row.invoker] = row.boot, started
             invoker = self.invokers.setdefault(row.invoker, it.Invoker(row.invoker))
             entries.append(
                 it.RosterEntry(invoker, row.zone, row.kind, row.cell, STATUSES[row.status], row.size, started)
             )
-        kind = NEWS[given.kind]
+        kind = NEWS[message.kind]
         if kind in (it.News.REPLACE, it.News.RESTORED):
             self._listed.clear()
         for entry in entries:
             (self._listed.discard if entry.status is it.Status.GONE else self._listed.add)(entry.invoker.name)
-        events.append(it.RosterNews(kind, given.version, entries))
+        events.append(it.RosterNews(kind, message.version, entries))
 
-    def _discovery_heard(self, now: float, given: ms.DiscoveryHeard, events: list):
-        events.append(it.DiscoveryHeard(given.age))
+    def _discovery_heard(self, now: float, message: ms.DiscoveryHeard, events: list):
+        events.append(it.DiscoveryHeard(message.age))
 
-    def _disconnected(self, now: float, given: ms.Disconnected, events: list):
-        invoker = self.invokers.get(given.invoker)
+    def _disconnected(self, now: float, message: ms.Disconnected, events: list):
+        invoker = self.invokers.get(message.invoker)
         if invoker is not None:
             events.append(it.Disconnected(invoker))
 
     def _sweep_invokers(self):
-        """Against a fleet whose machines are replaced for months: who left, and has nothing out, is forgotten. One
-        that comes back is a newcomer, as a process started afresh is."""
+        """Removes invokers that are no longer listed and have no forward, order or probe pending.
+
+        Otherwise a fleet whose machines are replaced over months would fill the memory. An invoker that returns later
+        is treated as new, as a restarted process is.
+        """
         used = self._listed | {sent.forward.invoker.name for sent in self.sent.values()}
         used |= {order.invoker.name for order in self.orders.values()} | {one.name for one, _ in self.probes.values()}
         self.invokers = {name: invoker for name, invoker in self.invokers.items() if name in used}
         self.boots = {name: boot for name, boot in self.boots.items() if name in used}
-        self._sweep_invokers_at = max(SWEEP_INVOKERS_AT, 2 * len(self.invokers))
+        self._invoker_sweep_count = max(INVOKER_SWEEP_COUNT, 2 * len(self.invokers))
 
-    def _order_ended(self, now: float, given: ms.OrderEnded, events: list):
-        ordered = self.orders.pop(given.order, None)
+    def _order_ended(self, now: float, message: ms.OrderEnded, events: list):
+        ordered = self.orders.pop(message.order, None)
         if ordered is None:
             self.counts.stale_inputs += 1
             return
         events.append(
-            it.OrderSettled(ordered.invoker, ordered.model, OUTCOMES[given.outcome], given.standing, now - ordered.at)
+            it.OrderSettled(
+                ordered.invoker, ordered.model, OUTCOMES[message.outcome], message.standing, now - ordered.at
+            )
         )
 
-    def _probe_ended(self, now: float, given: ms.ProbeEnded, events: list):
-        if given.probe in self.probes:
-            invoker, at = self.probes.pop(given.probe)
-            events.append(it.Probed(invoker, OUTCOMES[given.outcome], now - at, given.report))
+    def _probe_ended(self, now: float, message: ms.ProbeEnded, events: list):
+        if message.probe in self.probes:
+            invoker, at = self.probes.pop(message.probe)
+            events.append(it.Probed(invoker, OUTCOMES[message.outcome], now - at, message.report))
 
-    def _peer(self, now: float, given: ms.PeerMessage, events: list):
-        events.append(it.PeerSaid(given.peer, given.payload))
+    def _peer_message(self, now: float, message: ms.PeerMessage, events: list):
+        events.append(it.PeerSaid(message.peer, message.payload))
 
-    def _told(self, now: float, given: ms.Told, events: list):
-        for claim in given.claims:
+    def _told(self, now: float, message: ms.Told, events: list):
+        for claim in message.claims:
             invoker = self.invokers.get(claim.invoker)
-            # Of another process than the one that stands there now: what it held went with it.
+            # A claim about an earlier process of this invoker is ignored: its copies ended with it.
             if invoker is not None and self.boots[claim.invoker][0] == claim.boot:
                 events.append(it.Told(invoker, self._model(claim.model), claim.copies, claim.lanes, claim.life))
 
-    def _beliefs_asked(self, now: float, given: ms.BeliefsAsked, events: list):
-        events.append(it.BeliefsAsked(given.token))
+    def _beliefs_asked(self, now: float, message: ms.BeliefsAsked, events: list):
+        events.append(it.BeliefsAsked(message.token))
 
-    def _sharing(self, now: float, given: ms.Sharing, events: list):
-        events.append(it.Sharing(given.live, given.sharers))
+    def _sharing(self, now: float, message: ms.Sharing, events: list):
+        events.append(it.Sharing(message.live, message.sharers))
 
-    def _doubted(self, now: float, given: ms.Doubted, events: list):
-        invoker = self.invokers.get(given.invoker)
+    def _doubted(self, now: float, message: ms.Doubted, events: list):
+        invoker = self.invokers.get(message.invoker)
         if invoker is not None:
-            events.append(it.Doubted(invoker, given.ill))
+            events.append(it.Doubted(invoker, message.ill))
 
-    def _woke(self, now: float, given: ms.Woke, events: list):
-        self._armed = math.inf
-        while self._dues and self._dues[0][0] <= now:
-            _, _, what, token = heapq.heappop(self._dues)
+    def _woke(self, now: float, message: ms.Woke, events: list):
+        self._wake_at = math.inf
+        while self._schedule_heap and self._schedule_heap[0][0] <= now:
+            _, _, what, token = heapq.heappop(self._schedule_heap)
             if what is None:
                 events.append(it.TimerDue(token))
-            elif isinstance(what, _Sent):
-                # Moved on: a stream began, or it ended and the number is known no more.
+            elif isinstance(what, _SentForward):
+                # The entry is outdated if the forward has ended or a stream has begun on it.
                 if token in self.sent and what.due is not None:
                     self.counts.timed_out += 1
                     self._recall(token, what)
-                    self._end(now, token, it.Outcome.TIMED_OUT, events)
-            elif isinstance(what, _Ordered):
+                    self._end_forward(now, token, it.Outcome.TIMED_OUT, events)
+            elif isinstance(what, _SentOrder):
                 if self.orders.pop(token, None):
                     events.append(it.OrderSettled(what.invoker, what.model, it.Outcome.TIMED_OUT, 0, now - what.at))
-            elif not what.over:
-                self._late.append(what)
+            elif not what.finished:
+                self._overdue.append(what)
 
     # Actions
 
     def _forward(self, now: float, action: it.Forward, events: list):
         inference, name = action.inference, action.inference.name
-        held = self.calls.get(name)
-        if held is None or held.inference is not inference or held.over:
-            self._refuse("a forward for an inference that is over", name)
-            # The module's own accounts must close: it is told what became of it.
+        pending = self.calls.get(name)
+        if pending is None or pending.inference is not inference or pending.finished:
+            self._refuse_action("a forward for an inference that is already finished", name)
+            # The module's own bookkeeping needs an end for each forward.
             events.append(it.Ended(action, it.Outcome.NOT_SENT, True, 0.0, it.Found.UNTOLD, False, None, {}))
             return
-        number, left = self._number(), max(0.0, held.until - now)
+        number, left = self._new_number(), max(0.0, pending.deadline - now)
         time_out = max(0.0, min(left, action.time_out) if action.time_out else left)
-        sent = self.sent[number] = _Sent(held, action, now, now + time_out)
-        attempt, held.forwards = held.forwards, held.forwards + 1
-        held.out[number] = action
+        sent = self.sent[number] = _SentForward(pending, action, now, now + time_out)
+        attempt, pending.forwards = pending.forwards, pending.forwards + 1
+        pending.in_flight[number] = action
         self._numbers[action] = number
-        self._due(now + time_out, sent, number)
+        self._schedule(now + time_out, sent, number)
         self.counts.forwards += 1
         self.port(
             ms.SendForward(number, name, action.invoker.name, inference.model.name, time_out, attempt, action.write_by)
         )
 
-    def _recall(self, number: int, sent: _Sent):
-        self.port(ms.Recall(number, sent.held.inference.name, sent.forward.invoker.name))
+    def _recall(self, number: int, sent: _SentForward):
+        self.port(ms.Recall(number, sent.pending.inference.name, sent.forward.invoker.name))
 
     def _call_off(self, now: float, action: it.CallOff, events: list):
         number = self._numbers.get(action.forward)
         if number is None:
-            # Timed out at the very time at which the module gave up: what it wants is so already.
+            # The forward timed out in this same batch, so there is nothing left to call off.
             return
         sent = self.sent[number]
-        if sent.held.streaming == number:
-            return self._refuse("a call-off of a stream that has begun", sent.held.inference.name)
+        if sent.pending.streaming == number:
+            return self._refuse_action("a call-off of a stream that has already begun", sent.pending.inference.name)
         self._recall(number, sent)
-        self._end(now, number, it.Outcome.CALLED_OFF, events)
+        self._end_forward(now, number, it.Outcome.CALLED_OFF, events)
 
-    def _open(self, inference: it.Inference, what: str) -> _Held | None:
-        held = self.calls.get(inference.name)
-        if held is None or held.inference is not inference or held.over:
-            self._refuse(f"{what} for an inference that is over", inference.name)
+    def _unfinished(self, inference: it.Inference, what: str) -> _PendingCall | None:
+        pending = self.calls.get(inference.name)
+        if pending is None or pending.inference is not inference or pending.finished:
+            self._refuse_action(f"{what} for an inference that is already finished", inference.name)
             return None
-        return held
+        return pending
 
     def _shed(self, now: float, action: it.Shed, events: list):
-        held = self._open(action.inference, "a shed answer")
-        if held:
+        pending = self._unfinished(action.inference, "a shed answer")
+        if pending:
             self.counts.shed += 1
-            self._over(held)
+            self._finish(pending)
             self.port(ms.AnswerShed(action.inference.name, max(0.0, action.retry_after)))
-            self._forget(held)
+            self._remove_if_done(pending)
 
     def _fail(self, now: float, action: it.Fail, events: list):
-        held = self._open(action.inference, "a failed answer")
-        if held:
-            self._answer_failed(now, held)
+        pending = self._unfinished(action.inference, "a failed answer")
+        if pending:
+            self._answer_failed(now, pending)
 
-    def _answer_failed(self, now: float, held: _Held):
+    def _answer_failed(self, now: float, pending: _PendingCall):
         self.counts.failed += 1
-        self._over(held)
-        # Within two ticks of the end nothing else could have been tried: the time was what ran out.
-        self.port(ms.AnswerFailed(held.inference.name, now >= held.until - 3 * self.deployment.tick))
-        self._forget(held)
+        self._finish(pending)
+        # Within two ticks of the deadline no other attempt was possible: the call failed because its time ran out.
+        self.port(ms.AnswerFailed(pending.inference.name, now >= pending.deadline - 3 * self.deployment.tick))
+        self._remove_if_done(pending)
 
     def _order(self, now: float, action: it.Order, events: list):
-        number = self._number()
-        ordered = self.orders[number] = _Ordered(action.invoker, action.model, now)
+        number = self._new_number()
+        ordered = self.orders[number] = _SentOrder(action.invoker, action.model, now)
         self.counts.orders += 1
-        self._due(now + self.deployment.order_timeout, ordered, number)
+        self._schedule(now + self.deployment.order_timeout, ordered, number)
         self.port(
             ms.SendOrder(number, action.invoker.name, action.model.name, action.copies, self.deployment.order_timeout)
         )
@@ -509,11 +531,11 @@
         self.port(ms.SendUnload(action.invoker.name, action.model.name))
 
     def _set_timer(self, now: float, action: it.SetTimer, events: list):
-        # Never at once: a timer of no span would hold the loop here for ever.
-        self._due(now + max(0.1, action.after), None, action.token)
+        # At least 0.1 ms: a timer with no delay would keep `take` looping for ever.
+        self._schedule(now + max(0.1, action.after), None, action.token)
 
     def _probe(self, now: float, action: it.Probe, events: list):
-        number = self._number()
+        number = self._new_number()
         self.probes[number] = action.invoker, now
         self.counts.probes += 1
         self.port(ms.SendProbe(number, action.invoker.name, self.deployment.order_timeout))
@@ -541,24 +563,24 @@
         self.port(ms.Note(action.text))
 
 
-READERS: dict[type, Callable] = {
-    ms.Call: Gateway._call,
-    ms.Left: Gateway._left,
-    ms.FirstResult: Gateway._first,
+INPUT_HANDLERS: dict[type, Callable] = {
+    ms.Call: Gateway._call_arrived,
+    ms.Left: Gateway._client_left,
+    ms.FirstResult: Gateway._first_result,
     ms.ForwardEnded: Gateway._forward_ended,
     ms.Roster: Gateway._roster,
     ms.DiscoveryHeard: Gateway._discovery_heard,
     ms.Disconnected: Gateway._disconnected,
     ms.OrderEnded: Gateway._order_ended,
     ms.ProbeEnded: Gateway._probe_ended,
-    ms.PeerMessage: Gateway._peer,
+    ms.PeerMessage: Gateway._peer_message,
     ms.Told: Gateway._told,
     ms.Sharing: Gateway._sharing,
     ms.Doubted: Gateway._doubted,
     ms.BeliefsAsked: Gateway._beliefs_asked,
     ms.Woke: Gateway._woke,
 }
-WRITERS: dict[type, Callable] = {
+ACTION_HANDLERS: dict[type, Callable] = {
     it.Forward: Gateway._forward,
     it.Shed: Gateway._shed,
     it.Fail: Gateway._fail,
--- a/sprucespool/gateway/messages.py
+++ b/sprucespool/gateway/messages.py
@@ -1,7 +1,7 @@
-"""What a gateway is fed (inputs) and what it asks for (effects): plain data that can be written down and replayed.
+"""Inputs and effects of a gateway: plain data that can be recorded and replayed.
 
-Times are float milliseconds on whatever clock the owner hands in. Ids are the owner's (`call`) or the gateway's own
-(`forward`, `order`, `probe`: numbers that are never used twice in its life).
+Times are float milliseconds on the clock of the gateway's owner. `call` ids are chosen by the owner; `forward`, `order`
+and `probe` ids are numbers that the gateway assigns and never reuses.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class Call(_Input):
-    """An inference arrived; `ttl` is what its client still waits."""
+    """An inference arrived. `ttl` is how long its client still waits."""
 
     call: str
     group: str
@@ -36,26 +36,26 @@
     load_time: float | None = None
     repeat: bool = False
     write: bool = False
-    # Zones of invokers that it may go to, the first of them first; empty: it is to be shed.
+    # Zones whose invokers may run it, in order of preference. Empty: it must be shed.
     zones: tuple[str, ...] | None = None
-    # For how long it may have waited unread, as through a pause of the process.
+    # How long it may have waited before it was read, for example during a pause of the process.
     waited: float = 0.0
 
 
 class Left(_Input):
-    """The client of the inference went away."""
+    """The client of the inference disconnected or cancelled."""
 
     call: str
 
 
 class FirstResult(_Input):
-    """A streamed result began to come in on the forward."""
+    """The forward began to receive a streamed result."""
 
     forward: int
 
 
 class ForwardEnded(_Input):
-    """`outcome` and `found` are the values of `interface.Outcome` and `interface.Found`."""
+    """A forward ended. `outcome` and `found` are the values of `interface.Outcome` and `interface.Found`."""
 
     forward: int
     outcome: str
@@ -66,8 +66,11 @@
 
 
 class Row(msgspec.Struct, array_like=True):
-    """One invoker of a roster. `boot` names the process, so that a restart is known whatever clocks say; `age` is
-    how long it ran when the row was written, None where nobody tells."""
+    """One invoker of a roster.
+
+    `boot` identifies the process, so that a restart is detected independently of clocks. `age` is how long the process
+    had been running when the row was written, or None if this is not reported.
+    """
 
     invoker: str
     zone: str = ""
@@ -80,7 +83,7 @@
 
 
 class Roster(_Input):
-    """`kind` is a value of `interface.News`."""
+    """A roster update or snapshot. `kind` is a value of `interface.News`."""
 
     kind: str
     version: int = 0
@@ -88,13 +91,13 @@
 
 
 class DiscoveryHeard(_Input):
-    """All that discovery has to tell was last heard so long ago (ms); None: it is asked, and was not heard yet."""
+    """The complete state of discovery was last received `age` ms ago. None: requested, but not received yet."""
 
     age: float | None
 
 
 class Disconnected(_Input):
-    """The invoker ended the last connection to it."""
+    """The invoker closed the last connection to it."""
 
     invoker: str
 
@@ -117,7 +120,7 @@
 
 
 class Claim(msgspec.Struct, array_like=True):
-    """Copies of a model at one process of an invoker, as somebody tells of them; `life` ms at the most."""
+    """Reported copies of a model at one process of an invoker, valid for at most `life` ms."""
 
     invoker: str
     boot: str
@@ -128,31 +131,33 @@
 
 
 class Told(_Input):
-    """Another's word of what stands where; a claim without life takes an earlier one back."""
+    """Reports from elsewhere about loaded copies. A claim without a positive `life` withdraws an earlier one."""
 
     claims: list[Claim]
 
 
 class BeliefsAsked(_Input):
+    """Requests the module's beliefs; `BeliefsGiven` answers with the same token."""
+
     token: int
 
 
 class Sharing(_Input):
-    """Controllers that are there, and by how many what they share is to be divided here; infinite: nothing of it."""
+    """`live` controllers are running; this one may use 1/`sharers` of shared limits (infinite: none of them)."""
 
     live: int
     sharers: float
 
 
 class Doubted(_Input):
-    """Other controllers cannot reach the invoker (`ill`), or no longer say so."""
+    """Other controllers report that they cannot reach the invoker (`ill`), or no longer report it."""
 
     invoker: str
     ill: bool
 
 
 class Woke(_Input):
-    """The time asked for by `WakeAt` has come."""
+    """The time requested by `WakeAt` was reached."""
 
 
 Input = (
@@ -178,7 +183,7 @@
 
 
 class SendForward(_Effect):
-    """`attempt` counts the forwards of the call from 0; `time_out` is watched by the gateway itself."""
+    """Send a forward. `attempt` counts the forwards of the call from 0; the gateway itself enforces `time_out`."""
 
     forward: int
     call: str
@@ -186,12 +191,12 @@
     model: str
     time_out: float
     attempt: int
-    # When it is too late to begin to write it.
+    # Do not start to write it after this time.
     write_by: float = math.inf
 
 
 class Recall(_Effect):
-    """Nobody waits for this forward any more: cancel it; nothing is to be told of it."""
+    """Cancel this forward: its result is no longer needed, and its end need not be reported."""
 
     forward: int
     call: str
@@ -199,21 +204,21 @@
 
 
 class AnswerReturned(_Effect):
-    """The result that came with the forward is the call's final answer."""
+    """The result of the forward is the call's final answer."""
 
     call: str
     forward: int
 
 
 class StreamBegun(_Effect):
-    """The forward's results belong to the client from now on; its end ends the call."""
+    """From now on the forward's results go to the client, and the end of the forward ends the call."""
 
     call: str
     forward: int
 
 
 class StreamEnded(_Effect):
-    """The stream came to its end: whole, or broken after it had begun."""
+    """The stream ended: complete (`whole`), or broken off after it had begun."""
 
     call: str
     forward: int
@@ -221,17 +226,21 @@
 
 
 class AnswerShed(_Effect):
+    """Shed the call; the client may retry after `retry_after` ms."""
+
     call: str
     retry_after: float
 
 
 class AnswerFailed(_Effect):
+    """Fail the call; `late` if its time ran out."""
+
     call: str
     late: bool
 
 
 class Rejected(_Effect):
-    """The call was never taken: what it names is not known here."""
+    """The call was not accepted: its id is in use, or it names an unknown model group or tenant."""
 
     call: str
     why: str
@@ -261,7 +270,7 @@
 
 
 class SendMessage(_Effect):
-    """`peer` None means all of them."""
+    """Send a message to a peer; `peer` None means all peers."""
 
     peer: int | None
     payload: bytes
@@ -276,7 +285,7 @@
 
 
 class Known(msgspec.Struct, array_like=True):
-    """One belief given out; `own` if it rests on an own answer."""
+    """One belief of the module; `own` if it is based on an answer that this controller received itself."""
 
     invoker: str
     boot: str
@@ -293,13 +302,13 @@
 
 
 class WakeAt(_Effect):
-    """Feed `Woke` at this time; replaces the wake-up asked for before."""
+    """Pass in `Woke` at this time. Replaces the previously requested wake-up."""
 
     at: float
 
 
 class Note(_Effect):
-    """For the log. `fault` marks what the decision module ought not to have done."""
+    """A log entry. `fault` marks an error of the decision module or of the recording."""
 
     text: str
     fault: bool = False
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""The library driven by hand: each forward ends once, each call once, and a record plays to the same effects."""
+"""The gateway without sockets: each forward and each call ends once, and a replayed record gives the same effects."""
 
 import io
 
@@ -20,23 +20,23 @@
 
 
 class Scripted:
-    """A module that does what a test tells it to."""
+    """A decision module that answers with the given replies in order."""
 
     def __init__(self, *replies):
-        self.replies, self.heard = list(replies), []
+        self.replies, self.events = list(replies), []
 
     def __call__(self, dep, seed):
         return self
 
     def handle(self, now, events):
-        self.heard += events
+        self.events += events
         return self.replies.pop(0)(events) if self.replies else []
 
 
-def started(module=None, **over):
+def started(module=None, **overrides):
     out = []
     gateway = Gateway(
-        deployment(group("line"), group("live", streamed=True), **over),
+        deployment(group("line"), group("live", streamed=True), **overrides),
         3,
         out.append,
         **({"decider": module} if module else {}),
@@ -49,28 +49,28 @@
     return [it.Forward(event.inference, it.Invoker("a:1"), 0.0) for event in events if isinstance(event, it.Arrived)]
 
 
-def test_a_forward_past_its_time_is_recalled_and_ends_once():
+def test_forward_past_its_timeout_is_recalled_and_ends_once():
     module = Scripted(lambda events: [], lambda events: [it.Forward(events[0].inference, it.Invoker("a:1"), 50.0)])
     gateway, out = started(module)
     gateway.take(1.0, [ms.Call("c", "line", "m", 1000.0)])
     assert effects(ms.WakeAt, out)[-1].at == 51.0
     gateway.take(51.0, [ms.Woke()])
     gateway.take(52.0, [ms.ForwardEnded(1, "returned")])
-    ended = [event.outcome for event in module.heard if isinstance(event, it.Ended)]
+    ended = [event.outcome for event in module.events if isinstance(event, it.Ended)]
     assert ended == [it.Outcome.TIMED_OUT] and effects(ms.Recall, out) == [ms.Recall(1, "c", "a:1")]
     assert not effects(ms.AnswerReturned, out) and gateway.counts.stale_inputs == 1
 
 
-def test_what_the_module_does_for_an_inference_that_is_over_is_refused_and_its_accounts_close():
+def test_actions_for_finished_inference_are_refused_and_forward_still_ends():
     held = []
 
-    def keep(events):
+    def keep_and_shed(events):
         held.extend(event.inference for event in events if isinstance(event, it.Arrived))
         return [it.Shed(held[0], 5.0)]
 
     module = Scripted(
         lambda events: [],
-        keep,
+        keep_and_shed,
         lambda events: [it.Fail(held[0]), it.Shed(held[0], 1.0), it.Forward(held[0], it.Invoker("a:1"), 9.0)],
     )
     gateway, out = started(module)
@@ -78,14 +78,14 @@
     gateway.take(2.0, [ms.Roster("update")])
     assert effects(FINAL, out) == [ms.AnswerShed("c", 5.0)] and not effects(ms.SendForward, out)
     assert gateway.counts.refused_actions == 3 and sum(note.fault for note in effects(ms.Note, out)) == 3
-    assert [event.outcome for event in module.heard if isinstance(event, it.Ended)] == [it.Outcome.NOT_SENT]
+    assert [event.outcome for event in module.events if isinstance(event, it.Ended)] == [it.Outcome.NOT_SENT]
 
 
-def test_a_module_that_breaks_down_fails_the_batch_and_the_next_goes_on():
-    def broken(events):
+def test_module_exception_fails_the_batch_and_the_next_batch_is_served():
+    def raise_error(events):
         raise KeyError("oops")
 
-    gateway, out = started(Scripted(lambda events: [], broken, forward))
+    gateway, out = started(Scripted(lambda events: [], raise_error, forward))
     gateway.take(1.0, [ms.Call("c", "line", "m", 1000.0)])
     gateway.take(2.0, [ms.Call("d", "line", "m", 1000.0)])
     gateway.take(3.0, [ms.ForwardEnded(1, "returned")])
@@ -93,18 +93,18 @@
     assert gateway.counts.module_faults == 1 and gateway.owed == 0
 
 
-def test_an_inference_that_the_module_forgets_is_answered_when_its_time_is_up():
+def test_inference_forgotten_by_the_module_fails_at_the_end_of_its_ttl():
     gateway, out = started(Scripted())
     gateway.take(1.0, [ms.Call("c", "line", "m", 80.0)])
     gateway.take(81.0, [ms.Woke()])
     assert effects(FINAL, out) == [ms.AnswerFailed("c", True)] and gateway.counts.overdue == 1
 
 
-def test_after_a_stall_the_module_answers_first_what_is_late():
+def test_after_a_stall_the_module_may_answer_before_the_gateway_fails_overdue_calls():
     module = Scripted(
         lambda events: [],
         lambda events: [it.SetTimer(70.0, 5)],
-        lambda events: [it.Shed(module.heard[-2].inference, 9.0)],
+        lambda events: [it.Shed(module.events[-2].inference, 9.0)],
     )
     gateway, out = started(module)
     gateway.take(1.0, [ms.Call("c", "line", "m", 80.0)])
@@ -112,7 +112,7 @@
     assert effects(FINAL, out) == [ms.AnswerShed("c", 9.0)] and gateway.counts.overdue == 0
 
 
-def test_one_wake_up_is_asked_for_however_many_inferences_wait():
+def test_number_of_wake_ups_does_not_grow_with_waiting_inferences():
     gateway, out = started()
     before = len(effects(ms.WakeAt, out))
     for n in range(200):
@@ -120,7 +120,7 @@
     assert len(effects(ms.WakeAt, out)) - before <= 2
 
 
-def test_a_stream_belongs_to_its_client_once_begun_and_its_break_ends_the_call():
+def test_begun_stream_has_no_timeout_and_its_break_ends_the_call():
     gateway, out = started()
     gateway.take(1.0, [ms.Call("c", "live", "m", 500.0)])
     number = effects(ms.SendForward, out)[0].forward
@@ -132,17 +132,17 @@
     assert effects(ms.StreamEnded, out) == [ms.StreamEnded("c", number, False)] and gateway.owed == 0
 
 
-def test_a_restart_is_known_by_the_process_and_not_by_the_age_told():
+def test_restart_is_detected_by_boot_and_not_by_reported_age():
     module = Scripted()
     gateway, _ = started(module)
     for at, boot, age in ((100.0, "x", 40.0), (200.0, "x", 120.0), (300.0, "y", 5.0)):
         gateway.take(at, [ms.Roster("update", 2, [ms.Row("a:1", boot=boot, age=age)])])
-    news = [event for event in module.heard if isinstance(event, it.RosterNews)]
-    assert [event.entries[0].started for event in news[1:]] == [60.0, 60.0, 295.0]
+    roster_events = [event for event in module.events if isinstance(event, it.RosterNews)]
+    assert [event.entries[0].started for event in roster_events[1:]] == [60.0, 60.0, 295.0]
 
 
-def test_invokers_that_left_are_forgotten_but_those_listed_or_with_something_out_are_not():
-    # Machines replaced for months would else fill the memory.
+def test_removed_invokers_are_forgotten_unless_work_is_pending_at_them():
+    # Otherwise a fleet whose machines are replaced over months fills the memory.
     module = Scripted(lambda events: [], forward)
     gateway, out = started(module)
     gateway.take(1.0, [ms.Call("c", "line", "m", 60_000.0)])
@@ -159,8 +159,8 @@
     assert set(gateway.invokers) >= {f"r{n}:1" for n in range(300)} and "b:1" not in gateway.invokers
 
 
-def test_what_the_module_still_tells_of_is_not_forgotten_within_the_batch_that_withdraws_it():
-    # Names swept while inputs are read are gone before the module has heard of it: its answer named one unknown.
+def test_removed_invoker_is_forgotten_only_after_the_module_handled_the_batch():
+    # If names were removed while inputs are read, the module's answer could name an invoker that is already unknown.
     gateway, out = started()
     rows = [ms.Row(f"r{n}:1") for n in range(260)]
     gateway.take(1.0, [ms.Roster("replace", 2, rows[:250])])
@@ -173,7 +173,7 @@
     assert sent.invoker not in gateway.invokers and len(gateway.boots) == len(others)
 
 
-def test_unknown_groups_tenants_and_ids_in_use_are_rejected_without_the_module():
+def test_unknown_groups_unknown_tenants_and_ids_in_use_are_rejected_by_the_gateway():
     gateway, out = started()
     gateway.take(
         1.0,
@@ -207,37 +207,37 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True, database=None)
 @given(st.lists(STEP, max_size=50))
-def test_any_order_of_things_gives_each_call_one_end_and_plays_again_alike(steps):
+def test_any_order_of_inputs_ends_each_call_once_and_replays_identically(steps):
     out, sink, now, wake = [], io.BytesIO(), 0.0, None
     gateway = Gateway(deployment(group("line"), group("live", streamed=True)), 5, out.append)
-    taker = Recorder(gateway, sink)
-    taker.take(0.0, [ms.Roster("restored", 1, [ms.Row(f"w{n}:1") for n in range(3)])])
+    recorder = Recorder(gateway, sink)
+    recorder.take(0.0, [ms.Roster("restored", 1, [ms.Row(f"w{n}:1") for n in range(3)])])
     calls = 0
     for step, *how in [*steps, ("wait", 3000.0), ("wait", 20000.0)]:
         sent = [effect for effect in effects(ms.SendForward, out) if effect.forward in gateway.sent]
         orders = [effect.order for effect in effects(ms.SendOrder, out) if effect.order in gateway.orders]
         if step == "call":
             calls += 1
-            taker.take(now, [ms.Call(f"c{calls}", how[0], f"m{how[1]}", how[2], lanes=1, load_time=300.0)])
+            recorder.take(now, [ms.Call(f"c{calls}", how[0], f"m{how[1]}", how[2], lanes=1, load_time=300.0)])
         elif step == "end" and sent:
-            taker.take(now, [ms.ForwardEnded(sent[how[0] % len(sent)].forward, how[1], how[2])])
+            recorder.take(now, [ms.ForwardEnded(sent[how[0] % len(sent)].forward, how[1], how[2])])
         elif step == "first" and sent:
             pick = sent[how[0] % len(sent)]
             if gateway.calls[pick.call].inference.group.streamed:
-                taker.take(now, [ms.FirstResult(pick.forward)])
+                recorder.take(now, [ms.FirstResult(pick.forward)])
         elif step == "left" and calls:
-            taker.take(now, [ms.Left(f"c{how[0] % calls + 1}")])
+            recorder.take(now, [ms.Left(f"c{how[0] % calls + 1}")])
         elif step == "order" and orders:
             outcome = "returned" if how[1] else "full"
-            taker.take(now, [ms.OrderEnded(orders[how[0] % len(orders)], outcome, int(how[1]))])
+            recorder.take(now, [ms.OrderEnded(orders[how[0] % len(orders)], outcome, int(how[1]))])
         elif step == "roster":
-            taker.take(now, [ms.Roster("update", 2, [ms.Row(f"w{how[0]}:1", status=how[1])])])
+            recorder.take(now, [ms.Roster("update", 2, [ms.Row(f"w{how[0]}:1", status=how[1])])])
         elif step == "wait":
             end = now + how[0]
             while (wake := effects(ms.WakeAt, out)[-1].at) <= end and wake > now - 1e9:
                 now = max(now, wake)
                 count = len(out)
-                taker.take(now, [ms.Woke()])
+                recorder.take(now, [ms.Woke()])
                 if len(out) == count:
                     break
             now = max(now, end)
@@ -249,20 +249,20 @@
     )
     ended = [e.forward for e in out if isinstance(e, (ms.Recall, ms.AnswerReturned))]
     assert len(ended) == len(set(ended))
-    again = []
+    replayed = []
     sink.seek(0)
-    replay(sink, again.append)
-    assert msgspec.msgpack.encode(again) == msgspec.msgpack.encode(out)
+    replay(sink, replayed.append)
+    assert msgspec.msgpack.encode(replayed) == msgspec.msgpack.encode(out)
 
 
-def test_a_record_cut_off_plays_up_to_there_and_a_wrong_one_is_refused_by_name():
+def test_truncated_record_replays_up_to_the_cut_and_invalid_record_raises_an_error():
     sink, out = io.BytesIO(), []
-    taker = Recorder(Gateway(deployment(), 1, out.append), sink)
-    taker.take(0.0, [ms.Roster("restored", 1, [ms.Row("a:1")])])
-    taker.take(5.0, [ms.Call("c", "line", "m", 100.0)])
-    whole, again = sink.getvalue(), []
-    assert replay(io.BytesIO(whole[:-3]), again.append).counts.taken == 0
+    recorder = Recorder(Gateway(deployment(), 1, out.append), sink)
+    recorder.take(0.0, [ms.Roster("restored", 1, [ms.Row("a:1")])])
+    recorder.take(5.0, [ms.Call("c", "line", "m", 100.0)])
+    whole, replayed = sink.getvalue(), []
+    assert replay(io.BytesIO(whole[:-3]), replayed.append).counts.taken == 0
     with pytest.raises(ReplayError, match="expected a record|head of the record"):
-        replay(io.BytesIO(b"\x00\x00\x00\x02hi"), again.append)
+        replay(io.BytesIO(b"\x00\x00\x00\x02hi"), replayed.append)
     with pytest.raises(ReplayError, match="batch 1"):
-        replay(io.BytesIO(whole[:-20] + b"\xc1" * 20), again.append)
+        replay(io.BytesIO(whole[:-20] + b"\xc1" * 20), replayed.append)
