--- a/sprucespool/adapter/__init__.py
+++ b/sprucespool/adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The bench's wire on one side, `sprucespool.interface` on the other. Translates; decides nothing."""
+"""Translates between the bench's wire protocol and `sprucespool.interface`. Makes no decisions."""
--- a/sprucespool/adapter/session.py
+++ b/sprucespool/adapter/session.py
@@ -1,26 +1,28 @@
-"""Batches in, replies out, for as many instances as the input names."""
+"""Reads batches of messages and writes replies, for any number of controller instances."""
 
 from __future__ import annotations
 
 import traceback
 
-from sprucespool.adapter.translator import READERS, Translator
+from sprucespool.adapter.translator import EVENT_DECODERS, Translator
 from sprucespool.adapter.wire import Fields, Malformed, Settings
 
-LAST_LIST = 15
+MAX_TABLE = 15
 
 
 class Session:
+    """One connection to the bench: messages from `source`, replies to `sink`, complaints about bad lines to `notes`."""
+
     def __init__(self, source, sink, notes):
         self.source = source
         self.sink = sink
         self.notes = notes
-        self.number = 0
+        self.line_number = 0
         self.translators: dict[str, Translator] = {}
-        self.lists: dict[int, list[Fields]] = {}
+        self.tables: dict[int, list[Fields]] = {}
 
     def run(self) -> int:
-        while (line := self._line()) is not None:
+        while (line := self._read_line()) is not None:
             if not line:
                 continue
             try:
@@ -28,31 +30,31 @@
                 if fields.kind != "ROUND":
                     raise Malformed("expected ROUND simTime=NUMBER to open a batch")
                 now = fields.number("simTime")
-            except Malformed as problem:
-                self._complain(line, problem)
+            except Malformed as error:
+                self._report_malformed(line, error)
                 continue
-            if not self._batch(now):
+            if not self._read_batch(now):
                 self.notes.write("the input ended inside a batch: expected FLUSH\n")
                 return 1
         return 0
 
-    def _line(self) -> str | None:
+    def _read_line(self) -> str | None:
         raw = self.source.readline()
-        self.number += 1
+        self.line_number += 1
         if not raw:
             return None
         return raw.decode("utf-8", "replace").rstrip("\r\n")
 
-    def _complain(self, line: str, problem: Malformed):
+    def _report_malformed(self, line: str, error: Malformed):
         shown = line if len(line) <= 160 else line[:160] + "..."
-        self.notes.write(f"line {self.number}: {problem}: {shown}\n")
+        self.notes.write(f"line {self.line_number}: {error}: {shown}\n")
 
-    def _batch(self, now: float) -> bool:
+    def _read_batch(self, now: float) -> bool:
         pending: dict[str, list] = {}
         name = None
-        while (line := self._line()) is not None:
+        while (line := self._read_line()) is not None:
             if line == "FLUSH":
-                self._reply(now, pending)
+                self._handle_batch(now, pending)
                 return True
             if not line:
                 continue
@@ -61,22 +63,22 @@
                     name = None
                     name = Fields(line).text("i")
                 elif line.startswith("INVENTORY"):
-                    self._inventory(line)
+                    self._read_inventory(line)
                 else:
-                    self._event(name, line, pending)
-            except Malformed as problem:
-                self._complain(line, problem)
+                    self._read_event(name, line, pending)
+            except Malformed as error:
+                self._report_malformed(line, error)
         return False
 
-    def _inventory(self, line: str):
+    def _read_inventory(self, line: str):
         fields = Fields(line)
         table, rows = fields.whole("table"), fields.whole("rowsIn")
-        if table > LAST_LIST:
-            raise Malformed(f"expected table from 0 to {LAST_LIST}, got {table}")
-        self.lists.pop(table, None)
-        entries, problem = [], None
+        if table > MAX_TABLE:
+            raise Malformed(f"expected table from 0 to {MAX_TABLE}, got {table}")
+        self.tables.pop(table, None)
+        entries, error = [], None
         for _ in range(rows):
-            row = self._line()
+            row = self._read_line()
             if row is None:
                 return
             try:
@@ -84,22 +86,22 @@
                 if entry.kind != "ENTRY":
                     raise Malformed("expected ENTRY")
                 entries.append(entry)
-            except Malformed as found:
-                problem = found
-                self._complain(row, found)
-        if problem is None:
-            self.lists[table] = entries
+            except Malformed as invalid:
+                error = invalid
+                self._report_malformed(row, invalid)
+        if error is None:
+            self.tables[table] = entries
 
-    def _event(self, name: str | None, line: str, pending: dict[str, list]):
+    def _read_event(self, name: str | None, line: str, pending: dict[str, list]):
         kind = line.partition(" ")[0]
         if name is None:
             raise Malformed("expected SWITCH_TO i=INSTANCE before an event")
         if kind == "CONFIGURE":
-            pairs = Fields(line)
-            seed = pairs.whole("salt")
+            fields = Fields(line)
+            seed = fields.whole("salt")
             self.translators.pop(name, None)
             pending.pop(name, None)
-            self.translators[name] = Translator(Settings(pairs.pairs), seed)
+            self.translators[name] = Translator(Settings(fields.pairs), seed)
             return
         translator = self.translators.get(name)
         if translator is None:
@@ -108,30 +110,30 @@
             del self.translators[name]
             pending.pop(name, None)
         elif kind == "TOPOLOGY":
-            pending.setdefault(name, []).append(translator.topology(Fields(line), self.lists))
-        elif kind in READERS:
-            event = READERS[kind](translator, Fields(line))
+            pending.setdefault(name, []).append(translator.topology(Fields(line), self.tables))
+        elif kind in EVENT_DECODERS:
+            event = EVENT_DECODERS[kind](translator, Fields(line))
             if event is not None:
                 pending.setdefault(name, []).append(event)
         else:
-            raise Malformed(f"expected a message of the wire page, got {kind!r}")
+            raise Malformed(f"expected a message of the wire protocol, got {kind!r}")
 
-    def _reply(self, now: float, pending: dict[str, list]):
+    def _handle_batch(self, now: float, pending: dict[str, list]):
         lines = []
         for name, events in pending.items():
             translator = self.translators[name]
             try:
-                written = [translator.line(action) for action in translator.controller.handle(now, events)]
-            except Exception as problem:  # the bench wants any failure of the decision code told on the wire
-                frame = traceback.extract_tb(problem.__traceback__)[-1]
-                written = [
-                    f"INTERNAL_ERROR message={type(problem).__name__}: {problem} "
+                encoded = [translator.encode(action) for action in translator.controller.handle(now, events)]
+            except Exception as error:  # the bench expects each failure of the decision code on the wire
+                frame = traceback.extract_tb(error.__traceback__)[-1]
+                encoded = [
+                    f"INTERNAL_ERROR message={type(error).__name__}: {error} "
                     f"at {frame.name} line {frame.lineno}".replace("\n", " ")
                 ]
-            translator.tidy()
-            if written:
+            translator.release_ended()
+            if encoded:
                 lines.append(f"INSTANCE i={name}")
-                lines += written
+                lines += encoded
         lines.append("EOR\n")
         self.sink.write("\n".join(lines).encode())
         self.sink.flush()
--- a/sprucespool/adapter/translator.py
+++ b/sprucespool/adapter/translator.py
@@ -1,4 +1,7 @@
-"""One controller behind its door: ids outside, objects inside."""
+"""Translates between the wire messages and the decision interface of one controller instance.
+
+The wire refers to things by id, the decision interface by object.
+"""
 
 from __future__ import annotations
 
@@ -21,20 +24,21 @@
 LOAD_FAILED = 4
 
 
-class _Ticket:
-    """An inference of this controller with its forwards as the wire numbers them."""
+class _TrackedInference:
+    """An inference of this controller, with its forwards in the numbering of the wire."""
 
-    __slots__ = ("inference", "forwards", "out", "ended")
+    __slots__ = ("inference", "forwards", "in_flight", "ended")
 
     def __init__(self, inference: it.Inference):
         self.inference = inference
-        # None in place of one that has ended.
+        # Indexed by the forward's number on the wire; None once the forward has ended.
         self.forwards: list[it.Forward | None] = []
-        self.out = 0
+        self.in_flight = 0
         self.ended = False
 
 
 def deployment(settings: Settings) -> it.Deployment:
+    """The deployment values of a CONFIGURE message. Raises Malformed."""
     groups = []
     for n in range(settings.count("profiles")):
         at = f"profiles.{n}."
@@ -56,7 +60,7 @@
         )
     if not groups:
         raise Malformed("expected at least one of profiles")
-    _told_once("profiles", [group.name for group in groups])
+    _check_unique("profiles", [group.name for group in groups])
     tenants = [
         it.Tenant(
             settings.text(f"tenants.{n}.name"),
@@ -65,8 +69,8 @@
         )
         for n in range(settings.count("tenants"))
     ]
-    _told_once("tenants", [tenant.name for tenant in tenants])
-    controllers, own_number = settings.whole("balancers", least=1), settings.whole("me")
+    _check_unique("tenants", [tenant.name for tenant in tenants])
+    controllers, own_number = settings.whole("balancers", min_value=1), settings.whole("me")
     if own_number >= controllers:
         raise Malformed(f"expected me below balancers ({controllers}), got {own_number}")
     asked = settings.one_of("registryMode", {"automatic": False, "subscribe": True})
@@ -81,7 +85,7 @@
         tick=settings.number("tick"),
         answer_slack=settings.number("rules.answerSlack"),
         drain_grace=settings.number("rules.stopSendingWithin"),
-        cold_share=settings.number("rules.coldFrom", most=1.0),
+        cold_share=settings.number("rules.coldFrom", max_value=1.0),
         warm_after=settings.number("rules.warmAfter"),
         fall_multiple=settings.number("rules.fallMultiple"),
         fall_window=settings.number("rules.fall"),
@@ -94,7 +98,7 @@
         may_order=settings.flag("specifics.loadControl", False),
         tells_retry_after=settings.flag("ceilings.retryAfter", False),
         longest_retry_after=settings.number("ceilings.maxRetryAfter", 0.0),
-        most_forwards=settings.whole("ceilings.mostTries", least=1),
+        most_forwards=settings.whole("ceilings.mostTries", min_value=1),
         connect_timeout=settings.number("ceilings.connectTimeout"),
         keep_alive=settings.number("specifics.idleLife", 0.0),
         loads_on_miss=settings.one_of("specifics.ifCold", {"load": True, "miss": False}),
@@ -113,23 +117,25 @@
     )
 
 
-def _told_once(what: str, names: list[str]):
+def _check_unique(what: str, names: list[str]):
     if len(set(names)) < len(names):
-        raise Malformed(f"expected each of {what} under a name of its own, got {', '.join(names)}")
+        raise Malformed(f"expected a different name for each of {what}, got {', '.join(names)}")
 
 
 class Translator:
+    """One controller instance with the ids that the wire uses for its inferences, forwards, invokers and models."""
+
     __slots__ = (
         "controller",
         "deployment",
         "groups",
         "tenants",
-        "tickets",
-        "settled",
+        "inferences",
+        "recently_ended",
         "invokers",
         "models",
-        "numbers",
-        "leaving",
+        "forward_numbers",
+        "ended_in_batch",
     )
 
     def __init__(self, settings: Settings, seed: int):
@@ -137,79 +143,79 @@
         self.controller = Controller(self.deployment, seed)
         self.groups = {group.name: group for group in self.deployment.groups}
         self.tenants = {tenant.name: tenant for tenant in self.deployment.tenants}
-        self.tickets: dict[str, _Ticket] = {}
-        self.settled: deque[str] = deque(maxlen=1024)
+        self.inferences: dict[str, _TrackedInference] = {}
+        self.recently_ended: deque[str] = deque(maxlen=1024)
         self.invokers: dict[str, it.Invoker] = {}
         self.models: dict[str, it.Model] = {}
-        self.numbers: dict[it.Forward, int] = {}
-        self.leaving: list[tuple[_Ticket, it.Forward | None]] = []
+        self.forward_numbers: dict[it.Forward, int] = {}
+        self.ended_in_batch: list[tuple[_TrackedInference, it.Forward | None]] = []
 
-    # What came in
+    # Wire messages to events
 
-    def _invoker(self, f: Fields) -> it.Invoker:
-        name = f.text("invoker")
+    def _invoker(self, fields: Fields) -> it.Invoker:
+        name = fields.text("invoker")
         if name not in self.invokers:
-            raise Malformed(f"expected an invoker that a list has named, got {name!r}")
+            raise Malformed(f"expected an invoker named in an INVENTORY, got {name!r}")
         return self.invokers[name]
 
-    def _forward(self, f: Fields) -> tuple[_Ticket, it.Forward]:
-        name, number = f.text("msgId"), f.whole("go")
-        ticket = self.tickets.get(name)
-        if ticket is None or number >= len(ticket.forwards):
-            raise Malformed(f"expected a forward that is out, got {number} of {name!r}")
-        forward = ticket.forwards[number]
-        if forward is None or forward.invoker.name != f.text("invoker"):
-            raise Malformed(f"expected an open forward to that invoker, got {number} of {name!r}")
-        return ticket, forward
-
-    def arrived(self, f: Fields) -> it.Arrived:
-        name, image, options = f.text("msgId"), str(f.whole("image")), f.optional_whole("options") or 0
-        if name in self.tickets:
+    def _forward(self, fields: Fields) -> tuple[_TrackedInference, it.Forward]:
+        name, number = fields.text("msgId"), fields.whole("go")
+        tracked = self.inferences.get(name)
+        if tracked is None or number >= len(tracked.forwards):
+            raise Malformed(f"expected the number of a forward that was sent, got {number} of {name!r}")
+        forward = tracked.forwards[number]
+        if forward is None or forward.invoker.name != fields.text("invoker"):
+            raise Malformed(f"expected a pending forward to that invoker, got {number} of {name!r}")
+        return tracked, forward
+
+    def arrived(self, fields: Fields) -> it.Arrived:
+        name, image, options = fields.text("msgId"), str(fields.whole("image")), fields.optional_whole("options") or 0
+        if name in self.inferences:
             raise Malformed(f"expected a new msgId, got {name!r}")
-        owner = f.optional("owner")
+        owner = fields.optional("owner")
         tenant = None if owner in (None, "0") else self.tenants.get(owner)
         if owner not in (None, "0") and tenant is None:
             raise Malformed(f"expected owner as in tenants, got {owner!r}")
         inference = it.Inference(
             name=name,
-            group=f.one_of("grade", self.groups),
+            group=fields.one_of("grade", self.groups),
             model=it.Model(image),
             tenant=tenant,
-            ttl=f.number("ttl"),
-            work=f.optional_number("weightHint") if options & 1 else None,
-            memory_mb=f.optional_number("ramMb"),
-            lanes=f.optional_whole("parallel"),
-            load_time=f.optional_number("loadMs"),
+            ttl=fields.number("ttl"),
+            work=fields.optional_number("weightHint") if options & 1 else None,
+            memory_mb=fields.optional_number("ramMb"),
+            lanes=fields.optional_whole("parallel"),
+            load_time=fields.optional_number("loadMs"),
             repeat=bool(options & 2),
             write=bool(options & 4),
         )
         inference.model = self.models.setdefault(image, inference.model)
-        self.tickets[name] = _Ticket(inference)
+        self.inferences[name] = _TrackedInference(inference)
         return it.Arrived(inference)
 
-    def lapsed(self, f: Fields) -> it.Departed | None:
-        name = f.text("msgId")
-        ticket = self.tickets.get(name)
-        if ticket is None:
-            if name not in self.settled:
-                raise Malformed(f"expected the msgId of an inference held here, got {name!r}")
+    def lapsed(self, fields: Fields) -> it.Departed | None:
+        name = fields.text("msgId")
+        tracked = self.inferences.get(name)
+        if tracked is None:
+            if name not in self.recently_ended:
+                raise Malformed(f"expected the msgId of a known inference, got {name!r}")
             return None
-        if ticket.ended:
+        if tracked.ended:
             return None
-        ticket.ended = True
-        self.leaving.append((ticket, None))
-        return it.Departed(ticket.inference)
-
-    def done(self, f: Fields) -> it.Ended:
-        ticket, forward = self._forward(f)
-        outcome, note = f.one_of("reason", OUTCOMES), f.optional_whole("note") or 0
-        final, elapsed, report = f.flag("terminal"), f.number("elapsed"), f.report("metrics")
-        crowd = self.deployment.tells_same_model and outcome in (it.Outcome.RETURNED, it.Outcome.FULL)
+        tracked.ended = True
+        self.ended_in_batch.append((tracked, None))
+        return it.Departed(tracked.inference)
+
+    def done(self, fields: Fields) -> it.Ended:
+        tracked, forward = self._forward(fields)
+        outcome, note = fields.one_of("reason", OUTCOMES), fields.optional_whole("note") or 0
+        final, elapsed, report = fields.flag("terminal"), fields.number("elapsed"), fields.report("metrics")
+        counts_same_model = self.deployment.tells_same_model and outcome in (it.Outcome.RETURNED, it.Outcome.FULL)
         found = FOUND[note & 7] if outcome is it.Outcome.RETURNED and note & 7 < LOAD_FAILED else FOUND[0]
-        ticket.forwards[self.numbers[forward]] = None
-        ticket.out -= 1
-        ticket.ended = ticket.ended or final
-        self.leaving.append((ticket, forward))
+        tracked.forwards[self.forward_numbers[forward]] = None
+        tracked.in_flight -= 1
+        tracked.ended = tracked.ended or final
+        self.ended_in_batch.append((tracked, forward))
         return it.Ended(
             forward,
             outcome,
@@ -217,36 +223,42 @@
             elapsed,
             found,
             outcome is not it.Outcome.RETURNED and note & 7 == LOAD_FAILED,
-            note >> 3 if crowd else None,
+            note >> 3 if counts_same_model else None,
             report,
         )
 
-    def first(self, f: Fields) -> it.Streaming:
-        return it.Streaming(self._forward(f)[1], f.number("elapsed"))
+    def first(self, fields: Fields) -> it.Streaming:
+        return it.Streaming(self._forward(fields)[1], fields.number("elapsed"))
 
-    def sampled(self, f: Fields) -> it.Probed:
-        return it.Probed(self._invoker(f), f.one_of("reason", OUTCOMES), f.number("elapsed"), f.report("metrics"))
+    def sampled(self, fields: Fields) -> it.Probed:
+        return it.Probed(
+            self._invoker(fields), fields.one_of("reason", OUTCOMES), fields.number("elapsed"), fields.report("metrics")
+        )
 
-    def stands(self, f: Fields) -> it.OrderSettled:
-        image = str(f.whole("image"))
+    def stands(self, fields: Fields) -> it.OrderSettled:
+        image = str(fields.whole("image"))
         if image not in self.models:
-            raise Malformed(f"expected an image that was ordered, got {image!r}")
+            raise Malformed(f"expected an image of an earlier inference, got {image!r}")
         return it.OrderSettled(
-            self._invoker(f), self.models[image], f.one_of("reason", OUTCOMES), f.whole("howMany"), f.number("elapsed")
+            self._invoker(fields),
+            self.models[image],
+            fields.one_of("reason", OUTCOMES),
+            fields.whole("howMany"),
+            fields.number("elapsed"),
         )
 
-    def alarm(self, f: Fields) -> it.TimerDue:
-        return it.TimerDue(f.whole("handle"))
+    def alarm(self, fields: Fields) -> it.TimerDue:
+        return it.TimerDue(fields.whole("handle"))
 
-    def peer_data(self, f: Fields) -> it.PeerSaid:
-        return it.PeerSaid(f.whole("who"), f.octets("raw"))
+    def peer_data(self, fields: Fields) -> it.PeerSaid:
+        return it.PeerSaid(fields.whole("who"), fields.octets("raw"))
 
-    def topology(self, f: Fields, lists: dict[int, list[Fields]]) -> it.RosterNews:
-        kind, version = f.one_of("kind", NEWS), f.optional_whole("gen") or 0
+    def topology(self, fields: Fields, tables: dict[int, list[Fields]]) -> it.RosterNews:
+        kind, version = fields.one_of("kind", NEWS), fields.optional_whole("gen") or 0
         if kind is it.News.UNAVAILABLE:
             return it.RosterNews(kind, version, [])
-        table = f.whole("table")
-        if table not in lists:
+        table = fields.whole("table")
+        if table not in tables:
             raise Malformed(f"expected the number of an INVENTORY, got {table}")
         entries = [
             (
@@ -258,72 +270,84 @@
                 row.number("nominal"),
                 row.optional_number("bootTime") or 0.0,
             )
-            for row in lists[table]
+            for row in tables[table]
         ]
         return it.RosterNews(
             kind,
             version,
-            [it.RosterEntry(self.invokers.setdefault(name, it.Invoker(name)), *facts) for name, *facts in entries],
+            [it.RosterEntry(self.invokers.setdefault(name, it.Invoker(name)), *values) for name, *values in entries],
         )
 
-    def tidy(self):
-        """Ids stay good until their batch is answered: its events are fixed before any of them is."""
-        for ticket, forward in self.leaving:
+    def release_ended(self):
+        """Releases the ids of inferences and forwards that ended in the batch.
+
+        Called only after the batch is answered: all its events are decoded before the first is handled, so its actions
+        may still refer to these ids.
+        """
+        for tracked, forward in self.ended_in_batch:
             if forward is not None:
-                del self.numbers[forward]
-            if ticket.ended and not ticket.out and self.tickets.pop(ticket.inference.name, None) is not None:
-                self.settled.append(ticket.inference.name)
-        self.leaving.clear()
+                del self.forward_numbers[forward]
+            if (
+                tracked.ended
+                and not tracked.in_flight
+                and self.inferences.pop(tracked.inference.name, None) is not None
+            ):
+                self.recently_ended.append(tracked.inference.name)
+        self.ended_in_batch.clear()
 
-    # What goes out
+    # Actions to wire messages
 
-    def line(self, action) -> str:
-        return WRITERS[type(action)](self, action)
+    def encode(self, action) -> str:
+        return ACTION_ENCODERS[type(action)](self, action)
 
-    def _write_forward(self, a: it.Forward) -> str:
-        ticket = self.tickets[a.inference.name]
-        self.numbers[a] = len(ticket.forwards)
-        ticket.forwards.append(a)
-        ticket.out += 1
-        return f"HAND_OFF msgId={a.inference.name} within={a.time_out:.3f} invoker={a.invoker.name}"
+    def _write_forward(self, action: it.Forward) -> str:
+        tracked = self.inferences[action.inference.name]
+        self.forward_numbers[action] = len(tracked.forwards)
+        tracked.forwards.append(action)
+        tracked.in_flight += 1
+        return f"HAND_OFF msgId={action.inference.name} within={action.time_out:.3f} invoker={action.invoker.name}"
 
-    def _close(self, inference: it.Inference):
-        ticket = self.tickets[inference.name]
-        ticket.ended = True
-        self.leaving.append((ticket, None))
+    def _mark_ended(self, inference: it.Inference):
+        tracked = self.inferences[inference.name]
+        tracked.ended = True
+        self.ended_in_batch.append((tracked, None))
 
-    def _write_shed(self, a: it.Shed) -> str:
-        self._close(a.inference)
-        return f"PUSH_BACK msgId={a.inference.name} notBeforeFor={a.retry_after:.3f}"
+    def _write_shed(self, action: it.Shed) -> str:
+        self._mark_ended(action.inference)
+        return f"PUSH_BACK msgId={action.inference.name} notBeforeFor={action.retry_after:.3f}"
 
-    def _write_fail(self, a: it.Fail) -> str:
-        self._close(a.inference)
-        return f"GIVE_UP msgId={a.inference.name}"
+    def _write_fail(self, action: it.Fail) -> str:
+        self._mark_ended(action.inference)
+        return f"GIVE_UP msgId={action.inference.name}"
 
-    def _write_call_off(self, a: it.CallOff) -> str:
-        return f"CALL_OFF msgId={a.forward.inference.name} go={self.numbers[a.forward]}"
+    def _write_call_off(self, action: it.CallOff) -> str:
+        return f"CALL_OFF msgId={action.forward.inference.name} go={self.forward_numbers[action.forward]}"
 
 
-def _plain(text: str) -> str:
+def _single_line(text: str) -> str:
     return text.replace("\n", " ").replace("\r", " ")
 
 
-WRITERS: dict[type, Callable[[Translator, Any], str]] = {
+ACTION_ENCODERS: dict[type, Callable[[Translator, Any], str]] = {
     it.Forward: Translator._write_forward,
     it.Shed: Translator._write_shed,
     it.Fail: Translator._write_fail,
     it.CallOff: Translator._write_call_off,
-    it.Order: lambda _, a: f"PIN_UP invoker={a.invoker.name} image={a.model.name} howMany={a.copies}",
-    it.Unload: lambda _, a: f"FREE_UP invoker={a.invoker.name} image={a.model.name}",
-    it.SetTimer: lambda _, a: f"NOTIFY_ME offset={a.after:.3f} handle={a.token}",
-    it.Probe: lambda _, a: f"ASK_LOAD invoker={a.invoker.name}",
-    it.CloseIdle: lambda _, a: f"SHUT_IDLE invoker={a.invoker.name}",
-    it.Message: lambda _, a: f"MEMO_TO recipient={'*' if a.peer is None else a.peer} raw={a.payload.hex() or '-'}",
-    it.Subscribe: lambda _, a: f"OBSERVE active={int(a.active)}",
-    it.FetchRoster: lambda _, a: "LIST_ALL",
-    it.Log: lambda _, a: f"TRACE message={_plain(a.text)}",
+    it.Order: lambda _, action: (
+        f"PIN_UP invoker={action.invoker.name} image={action.model.name} howMany={action.copies}"
+    ),
+    it.Unload: lambda _, action: f"FREE_UP invoker={action.invoker.name} image={action.model.name}",
+    it.SetTimer: lambda _, action: f"NOTIFY_ME offset={action.after:.3f} handle={action.token}",
+    it.Probe: lambda _, action: f"ASK_LOAD invoker={action.invoker.name}",
+    it.CloseIdle: lambda _, action: f"SHUT_IDLE invoker={action.invoker.name}",
+    it.Message: lambda _, action: (
+        f"MEMO_TO recipient={'*' if action.peer is None else action.peer} raw={action.payload.hex() or '-'}"
+    ),
+    it.Subscribe: lambda _, action: f"OBSERVE active={int(action.active)}",
+    it.FetchRoster: lambda _, action: "LIST_ALL",
+    it.Log: lambda _, action: f"TRACE message={_single_line(action.text)}",
 }
-READERS = {
+EVENT_DECODERS = {
     "ARRIVAL": Translator.arrived,
     "LAPSED": Translator.lapsed,
     "DONE": Translator.done,
--- a/sprucespool/adapter/wire.py
+++ b/sprucespool/adapter/wire.py
@@ -1,4 +1,4 @@
-"""Lines of the wire taken apart into typed fields."""
+"""Parses lines of the wire protocol into typed fields."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 
 class Malformed(Exception):
-    """A line that the wire page does not allow; the text says what was expected."""
+    """A line violates the wire protocol. The message says what was expected."""
 
 
 class Fields:
-    """The name=value pairs of one line."""
+    """The kind and the name=value pairs of one line. Getters raise Malformed for missing or invalid values."""
 
     __slots__ = ("kind", "pairs")
 
@@ -87,18 +87,21 @@
 
     def report(self, name: str) -> dict[str, float]:
         value = self.pairs.get(name)
-        figures = {}
+        values = {}
         for part in value.split(",") if value else ():
-            key, colon, figure = part.partition(":")
+            key, colon, number = part.partition(":")
             if not colon or not key:
                 raise Malformed(f"expected {name} as NAME:FIGURE,..., got {part!r}")
-            figures[key] = _number(f"{name} {key}", figure)
-        return figures
+            values[key] = _number(f"{name} {key}", number)
+        return values
 
 
 class Settings:
-    """The path=value pairs of CONFIGURE. Against a typo that only shows when it breaks a rule: a value out of its
-    range is refused here, whoever tells it, and one that is absent is never taken for one that can't be read."""
+    """The path=value pairs of CONFIGURE.
+
+    Every value is checked against its range here, whatever its source, and an unreadable value is never treated as an
+    absent one. Otherwise a typo would only show when it leads to a broken rule.
+    """
 
     __slots__ = ("pairs", "inner")
 
@@ -106,35 +109,37 @@
         self.pairs = pairs
         self.inner = {path[:at] for path in pairs for at in range(len(path)) if path[at] == "."}
 
-    def _absent(self, path: str) -> bool:
+    def _is_absent(self, path: str) -> bool:
         if path in self.inner:
             raise Malformed(f"expected {path} as one value, got an object or a list of them")
         return path not in self.pairs
 
     def text(self, path: str) -> str:
-        if self._absent(path):
+        if self._is_absent(path):
             raise Malformed(f"expected the setting {path}")
         return self.pairs[path]
 
-    def number(self, path: str, absent: float | None = None, most: float = math.inf, positive: bool = False) -> float:
-        if absent is not None and self._absent(path):
-            return absent
+    def number(
+        self, path: str, default: float | None = None, max_value: float = math.inf, positive: bool = False
+    ) -> float:
+        if default is not None and self._is_absent(path):
+            return default
         value = _number(path, self.text(path))
-        if not 0.0 <= value <= most or positive and not value:
+        if not 0.0 <= value <= max_value or positive and not value:
             bound = "above 0" if positive else "of at least 0"
-            bound += f" and at most {most:g}" if most < math.inf else ""
+            bound += f" and at most {max_value:g}" if max_value < math.inf else ""
             raise Malformed(f"expected {path} as a number {bound}, got {value:g}")
         return value
 
-    def whole(self, path: str, least: int = 0) -> int:
+    def whole(self, path: str, min_value: int = 0) -> int:
         value = self.text(path)
-        if not _DIGITS.match(value) or int(value) < least:
-            raise Malformed(f"expected {path} as a whole number of at least {least}, got {value!r}")
+        if not _DIGITS.match(value) or int(value) < min_value:
+            raise Malformed(f"expected {path} as a whole number of at least {min_value}, got {value!r}")
         return int(value)
 
-    def flag(self, path: str, absent: bool | None = None) -> bool:
-        if absent is not None and self._absent(path):
-            return absent
+    def flag(self, path: str, default: bool | None = None) -> bool:
+        if default is not None and self._is_absent(path):
+            return default
         value = self.text(path)
         if value not in ("true", "false", "1", "0"):
             raise Malformed(f"expected {path} as true or false, got {value!r}")
@@ -147,14 +152,14 @@
         return table[value]
 
     def names(self, path: str) -> list[str]:
-        value = "" if self._absent(path) else self.pairs[path]
+        value = "" if self._is_absent(path) else self.pairs[path]
         return value.split(",") if value else []
 
     def numbers(self, path: str) -> list[float]:
-        figures = [_number(path, value) for value in self.names(path)]
-        if any(figure < 0.0 for figure in figures):
+        values = [_number(path, value) for value in self.names(path)]
+        if any(number < 0.0 for number in values):
             raise Malformed(f"expected {path} as numbers of at least 0, got {self.pairs[path]!r}")
-        return figures
+        return values
 
     def count(self, path: str) -> int:
         return self.whole(f"{path}.count") if f"{path}.count" in self.pairs else 0
@@ -162,9 +167,9 @@
 
 def _number(name: str, value: str) -> float:
     try:
-        figure = float(value)
+        number = float(value)
     except ValueError:
-        figure = math.nan
-    if not math.isfinite(figure):
+        number = math.nan
+    if not math.isfinite(number):
         raise Malformed(f"expected {name} as a number, got {value!r}")
-    return figure
+    return number
--- a/sprucespool/faults.py
+++ b/sprucespool/faults.py
@@ -1,8 +1,11 @@
-"""One vocabulary of faults between processes, for relays on sockets and for links in virtual time alike. Plain data.
-
-`silent`: accepts and delivers nothing (half-open, a cut that nobody is told of). `refused`: no new connection, those
-that stand are closed. `reset`: connections are reset, new ones too. `stopped`: what is under way stops in the middle of
-a message. In virtual time, where there are no connections, each of them delivers nothing.
+"""Network faults between processes, as plain data. Shared by the relays on sockets and the links in virtual time.
+
+Kinds of cut:
+`silent`: connections are accepted but nothing is delivered (half-open; neither side is notified).
+`refused`: new connections are refused and existing ones are closed.
+`reset`: existing and new connections are reset.
+`stopped`: transfers in progress stop in the middle of a message.
+In virtual time there are no connections, and each kind of cut delivers nothing.
 """
 
 from __future__ import annotations
@@ -15,8 +18,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkState:
-    """One direction of a link. `delay` and `jitter` in ms one way; `loss` a part of the messages (on a stream: of the
-    pieces, which then come as late as a retransmission takes); `bandwidth` in bytes a second, 0 without limit."""
+    """The state of one direction of a link.
+
+    `delay` and `jitter` are one-way times in ms. `loss` is the fraction of messages lost; on a stream it is the
+    fraction of chunks that are delayed by a retransmission. `bandwidth` is in bytes per second, 0 for unlimited.
+    """
 
     delay: float = 0.0
     jitter: float = 0.0
@@ -36,7 +42,7 @@
 
 @dataclass(slots=True)
 class Rule:
-    """From any of `sources` to any of `targets`; None stands for all."""
+    """The link state from any of `sources` to any of `targets`; None stands for all processes."""
 
     sources: frozenset[str] | None
     targets: frozenset[str] | None
@@ -48,11 +54,11 @@
 
 @dataclass(slots=True)
 class Links:
-    """What holds between any two processes: the last rule that speaks of them, else `default`."""
+    """The link state between any two processes: that of the last matching rule, otherwise `default`."""
 
     default: LinkState = HEALTHY
     rules: dict[str, list[Rule]] = field(default_factory=dict)
-    # Processes that stand at the place of another name: its faults are theirs.
+    # Process name -> name whose rules apply to it, for processes that replace another one.
     alias: dict[str, str] = field(default_factory=dict)
 
     def between(self, source: str, target: str) -> LinkState:
@@ -66,13 +72,13 @@
     def put(
         self, name: str, one: Iterable[str] | None, other: Iterable[str] | None, state: LinkState, both: bool = True
     ) -> None:
-        """`name` takes it back (`heal`)."""
+        """Sets the link state between `one` and `other` (None: all) as rule `name`, which `heal` removes."""
         first = None if one is None else frozenset(one)
         second = None if other is None else frozenset(other)
         self.rules[name] = [Rule(first, second, state)] + ([Rule(second, first, state)] if both else [])
 
     def partition(self, name: str, sides: Iterable[Iterable[str]], cut: str = "silent") -> None:
-        """No side reaches another."""
+        """Cuts all links between different `sides` as rule `name`, which `heal` removes."""
         groups = [frozenset(side) for side in sides]
         self.rules[name] = [
             Rule(one, other, LinkState(cut=cut)) for one in groups for other in groups if one is not other
--- a/sprucespool/links.py
+++ b/sprucespool/links.py
@@ -1,4 +1,4 @@
-"""What a connection's protocol looks like to the socket below it (bytes in, events and bytes out), and addresses."""
+"""The interface of a connection's protocol to its socket (bytes in, events and bytes out), and address parsing."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 
 class LinkError(Exception):
-    """The peer broke the protocol or a limit: the whole connection ends, with this reason."""
+    """The peer violated the protocol or a limit; the whole connection ends with this reason."""
 
 
 class SendNotAllowed(ValueError):
-    """What the protocol does not allow this end to send on the connection now."""
+    """The protocol does not allow this end to send the message in the connection's current state."""
 
 
 def address(text: str) -> tuple[str, int]:
-    """HOST:PORT taken apart. Raises ValueError."""
+    """Parses HOST:PORT. Raises ValueError."""
     host, colon, port = text.rpartition(":")
     host = host.strip("[]")
     if not colon or not host or not port.isdigit() or int(port) > 65535:
@@ -24,15 +24,20 @@
 
 
 class Link(Protocol):
+    """The protocol of one connection, without I/O."""
+
     @property
     def more(self) -> bool:
-        """Whether `outgoing` has more that may be written; only links that give one message at a time ever do."""
+        """Whether `outgoing` has more to write. Only true for links whose `outgoing` returns one message at a time."""
 
     def receive(self, data: memoryview, now: float) -> list[Any]:
-        """Raises LinkError when the connection is to end; `outgoing` then still has the last words for the peer."""
+        """Handles received data and returns its events.
+
+        Raises LinkError if the connection must end; `outgoing` then still returns the final bytes for the peer.
+        """
 
     def outgoing(self, data_too: bool = True) -> tuple[bytes, Sequence[Any]]:
-        """What is to be written now, and what came of it; without `data_too` no more than a few control bytes."""
+        """The bytes to write now and the resulting events. Without `data_too` only a few control bytes are returned."""
 
     def forget(self) -> None:
-        """The connection is gone."""
+        """Releases the state of the connection, which is closed."""
