--- a/sprucespool/settings/__init__.py
+++ b/sprucespool/settings/__init__.py
@@ -1,4 +1,4 @@
-"""KDL documents read into checked trade objects. Text in, objects or one clear `SettingsError` out; no I/O."""
+"""Decodes KDL documents into validated settings objects, or raises one `SettingsError`. No I/O."""
 
 from sprucespool.settings.kdl import Bytes, Duration, SettingsError, read, write
 
--- a/sprucespool/settings/controller.py
+++ b/sprucespool/settings/controller.py
@@ -1,4 +1,4 @@
-"""What an operator says of one controller, and the deployment facts that follow from it."""
+"""The settings file of a controller, and the deployment facts derived from it."""
 
 from __future__ import annotations
 
@@ -16,6 +16,7 @@
 
 
 def loopback(text: str) -> tuple[str, int]:
+    """Parses HOST:PORT with a loopback host. Raises ValueError."""
     host, port = address(text)
     try:
         inside = host == "localhost" or ipaddress.ip_address(host).is_loopback
@@ -26,13 +27,13 @@
     return host, port
 
 
-def _stays(stay: str):
+def _check_stay(stay: str):
     if stay not in ("", "region"):
         raise ValueError(f'stay: expected "region" or nothing, got {stay!r}')
 
 
 class Place(msgspec.Struct, forbid_unknown_fields=True):
-    """Which of how many controllers this is."""
+    """The number of this controller among all controllers, and where it runs."""
 
     number: int = 0
     of: int = 1
@@ -45,14 +46,14 @@
 
 
 class RosterSource(msgspec.Struct):
-    """Where the list of invokers comes from: a roster service, or a file that is watched."""
+    """The source of the list of invokers: a roster service, or a file that is checked for changes."""
 
     watch: str | None = None
     file: str | None = None
-    # True: the decision module says when to subscribe; else the daemon does by itself.
+    # True: the decision module decides when to subscribe. False: the daemon subscribes by itself.
     asked: bool = False
     ask_every: Duration = 10_000.0
-    # Which roster it is, where it does not say so itself: versions of one name are compared between controllers.
+    # Name of the roster if it does not give one itself. Controllers compare versions of rosters with the same name.
     name: str = "roster"
 
     def __post_init__(self):
@@ -75,11 +76,11 @@
     scope: str = "all"
     dedup_window: Duration = 0.0
     streamed: bool = False
-    # "region": its data must not leave the region of the controller that it enters.
+    # "region": its data must not leave the region of the controller that receives it.
     stay: str = ""
 
     def __post_init__(self):
-        _stays(self.stay)
+        _check_stay(self.stay)
         if self.effect not in EFFECTS:
             raise ValueError(f"effect: expected one of {', '.join(EFFECTS)}, got {self.effect!r}")
         if self.scope not in SCOPES:
@@ -91,19 +92,21 @@
 
 
 class TenantShare(msgspec.Struct):
+    """A tenant, with its share and quota."""
+
     __args__ = ("name",)
     name: str
     share: float = 1.0
-    # Inferences a second over all controllers, within its share.
+    # Inferences per second over all controllers that count as within its share.
     quota: float = 1e9
     stay: str = ""
 
     def __post_init__(self):
-        _stays(self.stay)
+        _check_stay(self.stay)
 
 
 class ModelFacts(msgspec.Struct):
-    """What holds for models whose name fits the pattern, where the inference itself does not tell."""
+    """Defaults for models whose name matches the pattern, used for what the inference itself does not specify."""
 
     __args__ = ("pattern",)
     pattern: str
@@ -115,7 +118,7 @@
 
 
 class Fleet(msgspec.Struct):
-    """What is known of the invokers, and the guards that go with it."""
+    """Properties of the invokers, and the limits that protect them."""
 
     drain_grace: Duration = 2_000.0
     cold_share: float = 0.25
@@ -138,7 +141,7 @@
 
 class Forwards(msgspec.Struct):
     most: int = 3
-    # Two forwards of one inference out at once.
+    # Whether one inference may have two forwards in flight at once.
     duplicate: bool = False
     call_off: bool = True
     connect_timeout: Duration = 250.0
@@ -149,7 +152,7 @@
 
 
 class Orders(msgspec.Struct):
-    """Orders to load: whether there are any, and their ration (none where `window` is 0)."""
+    """Load orders: whether they are allowed, and their rate limit (none if `window` is 0)."""
 
     allowed: bool = True
     time_out: Duration = 10_000.0
@@ -159,14 +162,14 @@
 
 
 class Answers(msgspec.Struct):
-    # Two of these before an inference's time is up it is answered: what a loop's turn and the way back take.
+    # An inference is answered two margins before its ttl ends: the time for a loop iteration and the way back.
     margin: Duration = 10.0
     retry_after: bool = True
     longest_retry_after: Duration = 2_000.0
 
 
 class Bounds(msgspec.Struct):
-    """Limits of the serving side; each one that is met is answered with a status of its own."""
+    """Limits of the server side. Each limit that is reached is answered with its own status."""
 
     connections: int = 4096
     streams: int = 1000
@@ -174,11 +177,11 @@
     message: Bytes = 8 * 2**20
     unsent: Bytes = 32 * 2**20
     half_received: Bytes = 256 * 2**20
-    # Inferences held at once, and the bytes of their requests.
+    # Maximum number of inferences held at once, and maximum total size of their requests.
     calls: int = 20_000
     held: Bytes = 512 * 2**20
     stream_buffer: Bytes = 65_536
-    # The loop's delay, on the mean of the last tenth of a second, from which on new inferences are shed unseen.
+    # Event loop delay, averaged over the last 100 ms, above which new inferences are shed without being decoded.
     lag: Duration = 100.0
     handshake: Duration = 5_000.0
     idle_close: Duration = 600_000.0
@@ -193,7 +196,7 @@
 
 
 class ToInvokers(msgspec.Struct):
-    """Connections to each invoker."""
+    """Limits and timeouts of the connections to each invoker."""
 
     connections: int = 4
     streams: int = 100
@@ -218,7 +221,7 @@
 
 
 class Peer(msgspec.Struct):
-    """Another controller that may be sent notes."""
+    """Another controller to which messages may be sent."""
 
     __args__ = ("number", "address")
     number: int
@@ -229,7 +232,7 @@
 
 
 class Source(msgspec.Struct):
-    """A controller that may be asked what it knows."""
+    """A controller that may be asked for its knowledge of loaded copies."""
 
     __args__ = ("address",)
     address: str
@@ -239,7 +242,7 @@
 
 
 class Seed(msgspec.Struct):
-    """A controller through which the group is found."""
+    """A controller through which a joining controller finds the group."""
 
     __args__ = ("address",)
     address: str
@@ -249,18 +252,19 @@
 
 
 class GroupPlan(msgspec.Struct):
-    """The group of controllers. Without this node nothing is said to any other and nothing heard of any."""
+    """The group of controllers. Without this node the controller neither sends to nor receives from others."""
 
     __args__ = ("name",)
     name: str
-    # What all members share and nobody else knows.
+    # A secret that all members share.
     mark: str
     seeds: list[Seed] = []
-    # This controller's name in the group; None: by its number. Where others reach it; None: where it listens.
+    # Name of this controller in the group (None: derived from its number), and the address at which the other members
+    # reach it (None: its listen address).
     member: str | None = None
     advertise: str | None = None
     period: Duration = 1_000.0
-    # How long the part of one that left may be used by others. 0 lends nothing.
+    # How long other members may use the share of a member that left. 0: not at all.
     loan: Duration = 10_000.0
 
     def __post_init__(self):
@@ -277,11 +281,13 @@
 
 
 class FleetView(msgspec.Struct):
-    """The view of the invokers that the group keeps in common. Without this node each goes by its own roster."""
+    """The group's shared view of the invokers. Without this node each controller relies on its own roster only."""
 
-    # A forward out for so long without a word makes an invoker silent in this controller's eyes; longer than a load.
+    # A forward that is pending for this long without any response makes this controller regard the invoker as silent.
+    # Must be longer than a model load.
     silent_after: Duration = 1_500.0
-    # Controllers that must agree before an invoker is left aside for what others see; the part of a zone that may be.
+    # Number of controllers that must agree before an invoker is excluded because of others' observations, and the
+    # largest fraction of a zone that may be excluded this way.
     observers: int = 2
     most_out: float = 0.5
     opinions_lapse: Duration = 15_000.0
@@ -306,7 +312,7 @@
 
 
 class Distance(msgspec.Struct):
-    """What it costs to go from one zone to another, and back: ms of the way or whatever else is counted."""
+    """The cost of crossing between two zones, the same in both directions: latency in ms or any other unit."""
 
     __args__ = ("one", "other", "cost")
     one: str
@@ -319,25 +325,25 @@
 
 
 class Voter(msgspec.Struct):
-    """A member of the group that has a vote in what plan is in force."""
+    """A member of the group that votes on the plan in force."""
 
     __args__ = ("member",)
     member: str
 
 
 class FailoverPlan(msgspec.Struct):
-    """Plans of zones that the group decides and follows. Without this node every inference may go anywhere."""
+    """Zone plans that the group decides on and follows. Without this node every inference may go to any zone."""
 
     zones: list[ZonePlace] = []
     voters: list[Voter] = []
     distances: list[Distance] = []
-    # A voter's file: whom it gave its vote. Without it, it gives none for 10 s after each start.
+    # File in which a voter keeps its votes. Without it, the voter does not vote for 10 s after each start.
     keep: str | None = None
-    # Another member has the vote of one that was gone for so long.
+    # Another member replaces a voter that has been gone for this long.
     replace_after: Duration = 30_000.0
-    # Cores that a unit of an invoker's size stands for.
+    # Number of cores per unit of an invoker's size.
     cores: float = 1.0
-    # The part of a zone that its own traffic, and others', may fill.
+    # Largest fraction of a zone's capacity that its own traffic may fill, and that traffic of other zones may fill.
     own_most: float = 0.85
     far_most: float = 0.85
 
@@ -362,20 +368,20 @@
 
 
 class Learning(msgspec.Struct):
-    """What a new controller may be told. Without this node nothing is asked, answered or written."""
+    """How a joining controller learns what others know. Without this node nothing is asked, answered or saved."""
 
     sources: list[Source] = []
     within: Duration = 5_000.0
-    # Members of the group may be asked as well, without being named here.
+    # Whether members of the group may be asked as well, without being listed here.
     members: bool = False
-    # Whether others may ask this one.
+    # Whether this controller answers others.
     answer: bool = True
     snapshot: str | None = None
     snapshot_every: Duration = 2_000.0
 
 
 class ControllerPlan(msgspec.Struct):
-    """All of a controller's file."""
+    """The complete settings file of a controller."""
 
     listen: str
     roster: RosterSource
@@ -395,12 +401,12 @@
     bounds: Bounds = msgspec.field(default_factory=Bounds)
     to_invokers: ToInvokers = msgspec.field(default_factory=ToInvokers)
     log: Log = msgspec.field(default_factory=Log)
-    # The own address that connections to others are made from; empty: the system's choice.
+    # Local address for outgoing connections. Empty: chosen by the system.
     source: str = ""
     seed: int = 1
-    # SIGTERM: owed answers have so long, then what is left is failed.
+    # After SIGTERM, pending inferences have this long to finish; then the rest are failed.
     stop_within: Duration = 10_000.0
-    # A file that all inputs are written to, for replay.
+    # File to which all inputs are recorded for replay.
     record: str | None = None
 
     def __post_init__(self):
@@ -432,6 +438,8 @@
 
 
 class InvokerLine(msgspec.Struct):
+    """One invoker of a roster file."""
+
     __args__ = ("address",)
     address: str
     zone: str = ""
@@ -445,7 +453,7 @@
 
 
 class Invokers(msgspec.Struct):
-    """A roster file: for a user with ten fixed invokers."""
+    """A roster file, for small deployments with a fixed list of invokers (about ten)."""
 
     invokers: list[InvokerLine] = []
 
@@ -457,7 +465,7 @@
 
 
 def deployment(plan: ControllerPlan) -> it.Deployment:
-    """The facts that the decision module is handed."""
+    """The deployment facts that are passed to the decision module."""
     fleet, forwards, orders, answers = plan.fleet, plan.forwards, plan.orders, plan.answers
     groups = [
         it.ModelGroup(
@@ -517,16 +525,16 @@
 
 
 class ModelTable:
-    """Facts of a model by its name: the first line whose pattern fits."""
+    """Looks up the facts of a model by its name: the first line whose pattern matches applies."""
 
     def __init__(self, lines: list[ModelFacts]):
         self.lines = lines
-        self.found: dict[str, ModelFacts | None] = {}
+        self.cache: dict[str, ModelFacts | None] = {}
 
     def of(self, model: str) -> ModelFacts | None:
-        if model not in self.found:
-            if len(self.found) > 100_000:
-                # Names come from clients: one-off ones must not fill the memory.
-                self.found.clear()
-            self.found[model] = next((line for line in self.lines if fnmatch.fnmatchcase(model, line.pattern)), None)
-        return self.found[model]
+        if model not in self.cache:
+            if len(self.cache) > 100_000:
+                # Names come from clients; the cache must not fill the memory with names used only once.
+                self.cache.clear()
+            self.cache[model] = next((line for line in self.lines if fnmatch.fnmatchcase(model, line.pattern)), None)
+        return self.cache[model]
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Files read into objects: what is wrong is told on one line with file, line, place and expectation."""
+"""Settings files: decoding, writing, and errors that give file, line, node and expectation on one line."""
 
 from pathlib import Path
 
@@ -31,7 +31,7 @@
 """
 
 
-def test_a_good_file_becomes_the_facts_that_the_module_is_handed():
+def test_valid_file_gives_the_deployment_facts():
     facts = deployment(read(ControllerPlan, GOOD, "f.kdl"))
     assert [(g.name, g.slo_time, g.route_timeout) for g in facts.groups] == [
         ("line", 600.0, 2500.0),
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "told"),
+    ("old", "new", "message"),
     [
         ('"600ms"', "600", 'f.kdl:4: model-group: slo-time: expected a text such as "250ms"'),
         ('"600ms"', '"600 parsecs"', "f.kdl:4: model-group: slo-time: expected a text"),
@@ -65,14 +65,14 @@
         ('model-group "once"', 'model-group "line"', "f.kdl: model-group 'line' is given twice"),
     ],
 )
-def test_what_is_wrong_is_told_with_its_line(old, new, told):
+def test_errors_give_the_line_and_the_expectation(old, new, message):
     assert GOOD.count(old) >= 1
     with pytest.raises(SettingsError) as caught:
         read(ControllerPlan, GOOD.replace(old, new, 1), "f.kdl")
-    assert str(caught.value).startswith(told) and "\n" not in str(caught.value)
+    assert str(caught.value).startswith(message) and "\n" not in str(caught.value)
 
 
-def test_lines_are_found_past_comments_strings_and_continuations():
+def test_node_lines_are_found_after_comments_strings_and_continuations():
     text = 'a "x;y{" /- 3 \\\n  2 // z {\n/* { /* } */ */ b { c; d "}" ; /- e { f }\n  g r#"1"2"# }\n/-\nh\ni'
     assert _scan(text)[0] == [1, 3, 3, 3, 4, 7]
 
@@ -114,21 +114,21 @@
         ),
     )
 )
-def test_what_is_written_is_read_as_the_same(told):
-    assert read(Outer, write(told), "x") == told
+def test_written_document_reads_back_as_an_equal_object(outer):
+    assert read(Outer, write(outer), "x") == outer
 
 
 @settings(max_examples=200, deadline=None, derandomize=True, database=None)
 @given(st.text(max_size=80))
-def test_any_text_is_read_or_refused(text):
+def test_any_text_is_read_or_raises_settings_error(text):
     for kind in (ControllerPlan, Invokers, Day):
         try:
             read(kind, text, "f")
-        except SettingsError as problem:
-            assert str(problem).startswith("f")
+        except SettingsError as error:
+            assert str(error).startswith("f")
 
 
-def test_the_first_pattern_that_fits_a_model_holds():
+def test_first_matching_model_pattern_applies():
     table = ModelTable([ModelFacts("a-*", lanes=1), ModelFacts("*", lanes=2)])
     assert [table.of(name).lanes for name in ("a-1", "b", "a-1")] == [1, 2, 1]
 
@@ -152,7 +152,7 @@
         ('source "10.0.0.1"', "loopback"),
     ],
 )
-def test_a_group_that_can_not_be_is_refused_with_place_and_expectation(line, expected):
+def test_invalid_group_settings_raise_an_error_with_file_and_expectation(line, expected):
     with pytest.raises(SettingsError) as caught:
         read(ControllerPlan, GROUPED + line, "c.kdl")
     assert expected in str(caught.value) and "c.kdl" in str(caught.value)
@@ -161,12 +161,12 @@
 DAY = Path(__file__).parent.parent / "days" / "partition.kdl"
 
 
-def test_the_same_seed_gives_the_same_script_and_a_fault_names_whom_it_parts():
+def test_same_seed_gives_the_same_schedule_and_partitions_list_their_sides():
     text = DAY.read_text()
     one, other = (schedule(read(Day, text, "d.kdl")) for _ in range(2))
     assert one.steps == other.steps and len(one.steps) >= 15
-    parts = next(step for step in one.steps if step.what == "link")
-    assert len(parts.sides) == 3 and sum(map(len, parts.sides)) == 8 + 9
+    partition = next(step for step in one.steps if step.what == "link")
+    assert len(partition.sides) == 3 and sum(map(len, partition.sides)) == 8 + 9
     for bad, expected in (
         ('between="hall-a,hall-b,coast"', 'between="hall-a" and="nowhere"'),
         ('what="coast"', 'what="beach"'),
