--- a/sprucespool/gateway/core.py
+++ b/sprucespool/gateway/core.py
@@ -100,9 +100,9 @@
 
     pending: _PendingCall
     forward: it.Forward
-    at: float
+    sent_at: float
     # None once a stream has begun: from then on neither the forward's timeout nor the route timeout applies.
-    due: float | None
+    timeout_at: float | None
 
 
 @dataclass(slots=True, eq=False)
@@ -111,7 +111,7 @@
 
     invoker: it.Invoker
     model: it.Model
-    at: float
+    sent_at: float
 
 
 class Gateway:
@@ -140,7 +140,7 @@
         self.models: dict[str, it.Model] = {}
         self.invokers: dict[str, it.Invoker] = {}
         self.boots: dict[str, tuple[str, float]] = {}
-        self._numbers: dict[it.Forward, int] = {}
+        self._forward_numbers: dict[it.Forward, int] = {}
         self._last_number, self._sequence = 0, 0
         self._schedule_heap: list[tuple[float, int, _PendingCall | _SentForward | _SentOrder | None, int]] = []
         self._wake_at = math.inf
@@ -220,9 +220,9 @@
         self._last_number += 1
         return self._last_number
 
-    def _schedule(self, at: float, what: _PendingCall | _SentForward | _SentOrder | None, token: int = 0):
+    def _schedule(self, at: float, entry: _PendingCall | _SentForward | _SentOrder | None, token: int = 0):
         self._sequence += 1
-        heapq.heappush(self._schedule_heap, (at, self._sequence, what, token))
+        heapq.heappush(self._schedule_heap, (at, self._sequence, entry, token))
 
     def _refuse_action(self, why: str, call: str):
         if call in self._finished_in_batch:
@@ -299,11 +299,11 @@
         if sent is None or sent.pending.finished:
             self.counts.stale_inputs += 1
             return
-        pending, sent.due = sent.pending, None
+        pending, sent.timeout_at = sent.pending, None
         pending.streaming = message.forward
         self._finish(pending)
         self.port(ms.StreamBegun(pending.inference.name, message.forward))
-        events.append(it.Streaming(sent.forward, now - sent.at))
+        events.append(it.Streaming(sent.forward, now - sent.sent_at))
 
     def _forward_ended(self, now: float, message: ms.ForwardEnded, events: list):
         if message.forward not in self.sent:
@@ -336,7 +336,7 @@
         self.counts.forward_ended(outcome)
         sent = self.sent.pop(number)
         pending, name = sent.pending, sent.pending.inference.name
-        del pending.in_flight[number], self._numbers[sent.forward]
+        del pending.in_flight[number], self._forward_numbers[sent.forward]
         if pending.streaming == number:
             pending.streaming = None
             whole = outcome is it.Outcome.RETURNED
@@ -349,7 +349,7 @@
             self.port(ms.AnswerReturned(name, number))
         final = pending.finished
         events.append(
-            it.Ended(sent.forward, outcome, final, now - sent.at, found, load_failed, same_model, report or {})
+            it.Ended(sent.forward, outcome, final, now - sent.sent_at, found, load_failed, same_model, report or {})
         )
         self._remove_if_done(pending)
 
@@ -380,7 +380,7 @@
             (self._listed.discard if entry.status is it.Status.GONE else self._listed.add)(entry.invoker.name)
         events.append(it.RosterNews(kind, message.version, entries))
 
-    def _discovery_heard(self, now: float, message: ms.DiscoveryHeard, events: list):
+    def _discovery_received(self, now: float, message: ms.DiscoveryHeard, events: list):
         events.append(it.DiscoveryHeard(message.age))
 
     def _disconnected(self, now: float, message: ms.Disconnected, events: list):
@@ -407,7 +407,7 @@
             return
         events.append(
             it.OrderSettled(
-                ordered.invoker, ordered.model, OUTCOMES[message.outcome], message.standing, now - ordered.at
+                ordered.invoker, ordered.model, OUTCOMES[message.outcome], message.standing, now - ordered.sent_at
             )
         )
 
@@ -419,7 +419,7 @@
     def _peer_message(self, now: float, message: ms.PeerMessage, events: list):
         events.append(it.PeerSaid(message.peer, message.payload))
 
-    def _told(self, now: float, message: ms.Told, events: list):
+    def _claims_received(self, now: float, message: ms.Told, events: list):
         for claim in message.claims:
             invoker = self.invokers.get(claim.invoker)
             # A claim about an earlier process of this invoker is ignored: its copies ended with it.
@@ -429,10 +429,10 @@
     def _beliefs_asked(self, now: float, message: ms.BeliefsAsked, events: list):
         events.append(it.BeliefsAsked(message.token))
 
-    def _sharing(self, now: float, message: ms.Sharing, events: list):
+    def _sharing_changed(self, now: float, message: ms.Sharing, events: list):
         events.append(it.Sharing(message.live, message.sharers))
 
-    def _doubted(self, now: float, message: ms.Doubted, events: list):
+    def _suspicion_changed(self, now: float, message: ms.Doubted, events: list):
         invoker = self.invokers.get(message.invoker)
         if invoker is not None:
             events.append(it.Doubted(invoker, message.ill))
@@ -440,20 +440,22 @@
     def _woke(self, now: float, message: ms.Woke, events: list):
         self._wake_at = math.inf
         while self._schedule_heap and self._schedule_heap[0][0] <= now:
-            _, _, what, token = heapq.heappop(self._schedule_heap)
-            if what is None:
+            _, _, entry, token = heapq.heappop(self._schedule_heap)
+            if entry is None:
                 events.append(it.TimerDue(token))
-            elif isinstance(what, _SentForward):
+            elif isinstance(entry, _SentForward):
                 # The entry is outdated if the forward has ended or a stream has begun on it.
-                if token in self.sent and what.due is not None:
+                if token in self.sent and entry.timeout_at is not None:
                     self.counts.timed_out += 1
-                    self._recall(token, what)
+                    self._recall(token, entry)
                     self._end_forward(now, token, it.Outcome.TIMED_OUT, events)
-            elif isinstance(what, _SentOrder):
+            elif isinstance(entry, _SentOrder):
                 if self.orders.pop(token, None):
-                    events.append(it.OrderSettled(what.invoker, what.model, it.Outcome.TIMED_OUT, 0, now - what.at))
-            elif not what.finished:
-                self._overdue.append(what)
+                    events.append(
+                        it.OrderSettled(entry.invoker, entry.model, it.Outcome.TIMED_OUT, 0, now - entry.sent_at)
+                    )
+            elif not entry.finished:
+                self._overdue.append(entry)
 
     # Actions
 
@@ -470,7 +472,7 @@
         sent = self.sent[number] = _SentForward(pending, action, now, now + time_out)
         attempt, pending.forwards = pending.forwards, pending.forwards + 1
         pending.in_flight[number] = action
-        self._numbers[action] = number
+        self._forward_numbers[action] = number
         self._schedule(now + time_out, sent, number)
         self.counts.forwards += 1
         self.port(
@@ -481,7 +483,7 @@
         self.port(ms.Recall(number, sent.pending.inference.name, sent.forward.invoker.name))
 
     def _call_off(self, now: float, action: it.CallOff, events: list):
-        number = self._numbers.get(action.forward)
+        number = self._forward_numbers.get(action.forward)
         if number is None:
             # The forward timed out in this same batch, so there is nothing left to call off.
             return
@@ -569,14 +571,14 @@
     ms.FirstResult: Gateway._first_result,
     ms.ForwardEnded: Gateway._forward_ended,
     ms.Roster: Gateway._roster,
-    ms.DiscoveryHeard: Gateway._discovery_heard,
+    ms.DiscoveryHeard: Gateway._discovery_received,
     ms.Disconnected: Gateway._disconnected,
     ms.OrderEnded: Gateway._order_ended,
     ms.ProbeEnded: Gateway._probe_ended,
     ms.PeerMessage: Gateway._peer_message,
-    ms.Told: Gateway._told,
-    ms.Sharing: Gateway._sharing,
-    ms.Doubted: Gateway._doubted,
+    ms.Told: Gateway._claims_received,
+    ms.Sharing: Gateway._sharing_changed,
+    ms.Doubted: Gateway._suspicion_changed,
     ms.BeliefsAsked: Gateway._beliefs_asked,
     ms.Woke: Gateway._woke,
 }
--- a/sprucespool/settings/kdl.py
+++ b/sprucespool/settings/kdl.py
@@ -213,13 +213,13 @@
     plain = [name for name in fields if _struct_of(hints[name])[0] is None]
     nested = [name for name in fields if _struct_of(hints[name])[0] is not None]
     values: dict[str, Any] = {}
-    many = bool(positions) and typing.get_origin(hints[positions[-1]]) is list
-    if len(args) > len(positions) and not many:
+    variadic = bool(positions) and typing.get_origin(hints[positions[-1]]) is list
+    if len(args) > len(positions) and not variadic:
         raise place.error(f"expected {len(positions)} value(s) ({_name_list(list(positions))}), got {len(args)}")
     for number, value in enumerate(args):
         name = positions[min(number, len(positions) - 1)]
         try:
-            if many and number >= len(positions) - 1:
+            if variadic and number >= len(positions) - 1:
                 values.setdefault(name, []).append(_value(typing.get_args(hints[name])[0], value))
             else:
                 values[name] = _value(hints[name], value)
@@ -303,16 +303,16 @@
     lines, pad = [], "    " * depth
     for field in msgspec.structs.fields(type(struct)):
         value, name = getattr(struct, field.name), field.name.replace("_", "-")
-        inner, many = _struct_of(hints[field.name])
+        inner, is_list = _struct_of(hints[field.name])
         if value is None:
             continue
         if inner is None and depth == 0:
-            kind = typing.get_args(hints[field.name])[0] if many else hints[field.name]
-            words = " ".join(_format_value(kind, one) for one in (value if many else [value]))
+            kind = typing.get_args(hints[field.name])[0] if is_list else hints[field.name]
+            words = " ".join(_format_value(kind, one) for one in (value if is_list else [value]))
             lines.append(f"{name} {words}")
         elif inner is not None:
-            single = name[:-1] if many else name
-            lines += [_node(single, one, pad) for one in (value if many else [value])]
+            single = name[:-1] if is_list else name
+            lines += [_node(single, one, pad) for one in (value if is_list else [value])]
     return "\n".join(lines) + ("\n" if depth == 0 else "")
 
 
@@ -322,15 +322,15 @@
     words, children = [pad + name], []
     for field in sorted(msgspec.structs.fields(type(struct)), key=lambda field: field.name not in positions):
         value = getattr(struct, field.name)
-        inner, many = _struct_of(hints[field.name])
+        inner, is_list = _struct_of(hints[field.name])
         if value is None:
             continue
         if inner is not None:
-            single = field.name.replace("_", "-")[:-1] if many else field.name.replace("_", "-")
-            children += [_node(single, one, pad + "    ") for one in (value if many else [value])]
+            single = field.name.replace("_", "-")[:-1] if is_list else field.name.replace("_", "-")
+            children += [_node(single, one, pad + "    ") for one in (value if is_list else [value])]
         elif field.name in positions:
-            kind = typing.get_args(hints[field.name])[0] if many else hints[field.name]
-            words += [_format_value(kind, one) for one in (value if many else [value])]
+            kind = typing.get_args(hints[field.name])[0] if is_list else hints[field.name]
+            words += [_format_value(kind, one) for one in (value if is_list else [value])]
         else:
             words.append(f"{field.name.rstrip('_').replace('_', '-')}={_format_value(hints[field.name], value)}")
     text = " ".join(words)
