--- a/sprucespool/policy/beliefs.py
+++ b/sprucespool/policy/beliefs.py
@@ -128,11 +128,11 @@
 class RequestBelief:
     """An inference still owed an answer."""
 
-    def __init__(self, arrived: float, until: float, cheap: bool, luck: float):
-        self.arrived, self.until, self.cheap, self.luck = arrived, until, cheap, luck
+    def __init__(self, arrived: float, deadline: float, cheap: bool, luck: float):
+        self.arrived, self.deadline, self.cheap, self.luck = arrived, deadline, cheap, luck
         # Attempts that may have run and are over: where, and when they were sent.
         self.ran: list[tuple[Worker, float]] = []
-        self.out: dict[Forward, None] = {}
+        self.in_flight: dict[Forward, None] = {}
         self.tried: list[Worker] = []
         self.load: OwnLoad | None = None
         self.check: ReadinessCheck | None = None
--- a/sprucespool/policy/controller.py
+++ b/sprucespool/policy/controller.py
@@ -267,7 +267,7 @@
         if mind.check is not None:
             mind.check.waiting.pop(request, None)
         if self.deployment.may_call_off:
-            self.actions += [CallOff(forward) for forward in mind.out if forward is not keep]
+            self.actions += [CallOff(forward) for forward in mind.in_flight if forward is not keep]
 
     def _finish(self, request: Inference):
         """Given up: a shed tells the client that another try is harmless, so it goes wherever it is true."""
@@ -284,7 +284,7 @@
         if mind.check is not None:
             return
         if not self._may_repeat(request):
-            return None if mind.out else self._finish(request)
+            return None if mind.in_flight else self._finish(request)
         ill, thin = [worker for worker in self.workers if worker.suspect] if self.ill else [], self._thin()
         trial = next(
             (worker for worker in ill if self.now >= worker.trial_at and self._may_forward(request, worker)), None
@@ -328,7 +328,7 @@
                 and worker.unfit_until <= now
                 and not self.readiness.is_barred(worker, now)
                 and worker.work + mind.luck < worker.window * part
-                and (anywhere and not self._cold(worker) or self._may_forward(request, worker))
+                and (anywhere and not self._is_cold(worker) or self._may_forward(request, worker))
             )
 
         # Those tried before only where nothing else has room.
@@ -374,10 +374,10 @@
         elif bare:
             self._forward_bare(request, bare)
         belief = request.belief
-        return bool(belief.out or belief.load or belief.check)
+        return bool(belief.in_flight or belief.load or belief.check)
 
     def _file(self, worker: Worker):
-        self.index.file(worker, self._cold(worker))
+        self.index.file(worker, self._is_cold(worker))
 
     def _seek(self, mdl: ModelBelief, fits: Callable[[Worker], bool]) -> Worker | None:
         """The least-loaded that fits; among equals the own hall first, then the model's shared order."""
@@ -420,9 +420,9 @@
         return self.traffic.is_thin(self.now, self.live, len(self.workers), self.near)
 
     def _park(self, request: Inference):
-        if not request.belief.out and (request.belief.cheap or self._hopeless(request)):
+        if not request.belief.in_flight and (request.belief.cheap or self._hopeless(request)):
             self._finish(request)
-        elif not request.belief.out:
+        elif not request.belief.in_flight:
             self.parked[request] = None
 
     def _unpark(self, most: int):
@@ -458,16 +458,16 @@
             self.readiness.wait(request, worker.check or self._check(worker))
             return False
         write_by = self.readiness.write_by(worker, self.now)
-        forward = Forward(request, worker.entry.invoker, mind.until - self.now, write_by=write_by)
+        forward = Forward(request, worker.entry.invoker, mind.deadline - self.now, write_by=write_by)
         cold = worker not in mdl.warm or worker in mdl.told
         forward.belief = AttemptBelief(worker, self.now, cold)
         request.forwards.append(forward)
         mind.tried.append(worker)
-        mind.out[forward] = worker.out[forward] = self.active[worker] = None
+        mind.in_flight[forward] = worker.out[forward] = self.active[worker] = None
         self.in_flight += worker.serving
         worker.cold += forward.belief.cold
         mdl.busy[worker] = mdl.busy.get(worker, 0) + 1
-        if self._cold(worker):
+        if self._is_cold(worker):
             self.slow_start.attempt_sent(worker, self.usual[request.group].mean)
         self._file(worker)
         self.actions.append(forward)
@@ -658,7 +658,7 @@
             return False
         if not self.rules.in_scope(request, worker):
             return False
-        return not self._cold(worker) or self._cold_room(worker, self.usual[request.group].mean)
+        return not self._is_cold(worker) or self._cold_room(worker, self.usual[request.group].mean)
 
     def _may_order(self, worker: Worker) -> bool:
         return (
@@ -668,7 +668,7 @@
             and self.ration.allows_order(self.now)
         )
 
-    def _cold(self, worker: Worker) -> bool:
+    def _is_cold(self, worker: Worker) -> bool:
         return self.slow_start.is_cold(worker, self.now)
 
     def _cold_room(self, worker: Worker, weight: float) -> bool:
@@ -724,12 +724,12 @@
             self._order(mdl, worker)
         if mind is None:
             return
-        del mind.out[forward]
+        del mind.in_flight[forward]
         if outcome not in NEVER_RAN:
             mind.ran.append((worker, sent.at))
         if event.final:
             self._close(request)
-        elif now >= mind.until:
+        elif now >= mind.deadline:
             self._finish(request)
         elif outcome is Outcome.MISS and not event.load_failed and not mind.load and not mind.check:
             self._missed(request, mdl, worker)
--- a/sprucespool/policy/retry_rules.py
+++ b/sprucespool/policy/retry_rules.py
@@ -8,7 +8,7 @@
 
 def perhaps_ran(belief: RequestBelief) -> list[tuple[Worker, float]]:
     """Attempts that are not proven not to have run: where, and when they were sent."""
-    return belief.ran + [(forward.belief.worker, forward.belief.at) for forward in belief.out]
+    return belief.ran + [(forward.belief.worker, forward.belief.at) for forward in belief.in_flight]
 
 
 class RetryRules:
@@ -23,12 +23,12 @@
     def may_repeat(self, request: Inference, now: float) -> bool:
         """Whether another attempt could be sent to any worker."""
         belief, group = request.belief, request.group
-        if len(request.forwards) >= self.most_attempts or now >= belief.until:
+        if len(request.forwards) >= self.most_attempts or now >= belief.deadline:
             return False
-        if belief.out and not self.may_duplicate:
+        if belief.in_flight and not self.may_duplicate:
             return False
         if group.effect is Effect.NON_RETRIABLE:
-            return not belief.ran and not belief.out
+            return not belief.ran and not belief.in_flight
         if group.effect is Effect.RETRIABLE:
             return True
         window = group.dedup_window - self.written_within
--- a/sprucespool/standin/baselines.py
+++ b/sprucespool/standin/baselines.py
@@ -89,7 +89,7 @@
 
 class _AnyRetry(RetryRules):
     def may_repeat(self, request: it.Inference, now: float) -> bool:
-        return len(request.forwards) < 4 and not request.belief.out and now < request.belief.until
+        return len(request.forwards) < 4 and not request.belief.in_flight and now < request.belief.deadline
 
     def may_shed(self, request: it.Inference) -> bool:
         return True
@@ -115,7 +115,7 @@
 class _PushesCold(Controller):
     """Rule 4: takes a cold invoker for a warm one, and the emptiest."""
 
-    def _cold(self, worker: Worker) -> bool:
+    def _is_cold(self, worker: Worker) -> bool:
         return False
 
     def _place(self, request: it.Inference):
