--- a/sprucespool/policy/__init__.py
+++ b/sprucespool/policy/__init__.py
@@ -1,7 +1,8 @@
-"""All decisions of a controller: pull-based placement (HIKU) with what keeps it standing when things fail.
+"""All decisions of a controller: pull-based placement (HIKU), and the rules that keep it working through failures.
 
-`Controller(deployment, seed)` is made once when the controller starts; `handle(now, events)` takes each batch of what
-happened and gives the list of what to do, in order. What is handed in and out is defined in `sprucespool.interface`.
+`Controller(deployment, seed)` is created once when the controller starts; `handle(now, events)` takes each batch of
+events and returns the list of actions to carry out, in order. Events and actions are defined in
+`sprucespool.interface`.
 """
 
 from sprucespool.policy.controller import Controller
--- a/sprucespool/policy/beliefs.py
+++ b/sprucespool/policy/beliefs.py
@@ -1,4 +1,4 @@
-"""What a controller believes of invokers, models, requests and loads. State alone: no decision is made here."""
+"""What a controller believes about invokers, models, requests and loads. Only state: no decision is made here."""
 
 from __future__ import annotations
 
@@ -7,82 +7,101 @@
 from sprucespool.interface import Deployment, Forward, Inference, Model, RosterEntry
 from sprucespool.policy.shared_order import SharedOrder, salt_of
 
-# Own requests in flight to an invoker not yet known.
-FIRST_WINDOW = 4.0
-# Ms before a worker that failed a readiness check is checked again.
-FIRST_RECHECK = 500.0
-# Ms before the first trial of a suspect.
-FIRST_TRIAL = 1000.0
+# Own requests that may be in flight to an invoker that has not answered yet.
+INITIAL_WINDOW = 4.0
+# Delay before a worker that failed a readiness check is checked again.
+INITIAL_RECHECK_DELAY_MS = 500.0
+# Delay before the first trial request to a suspect.
+INITIAL_TRIAL_DELAY_MS = 1000.0
 
 
 class RunningMean:
-    """Mean and mean deviation of a figure, as a retransmission timer keeps them."""
+    """Running mean and mean deviation of a value, computed as for a retransmission timer."""
 
-    def __init__(self, guess: float):
-        self.mean, self.spread, self.seen = guess, guess / 2, 0
+    def __init__(self, initial: float):
+        self.mean, self.deviation, self.samples = initial, initial / 2, 0
 
-    def add(self, figure: float):
-        self.seen += 1
-        gain = max(0.05, 1.0 / self.seen)
-        self.spread += min(0.5, gain) * (abs(figure - self.mean) - self.spread)
-        self.mean += gain * (figure - self.mean)
+    def add(self, value: float):
+        self.samples += 1
+        gain = max(0.05, 1.0 / self.samples)
+        self.deviation += min(0.5, gain) * (abs(value - self.mean) - self.deviation)
+        self.mean += gain * (value - self.mean)
 
-    def patience(self) -> float:
-        return self.mean + 4 * self.spread
+    def timeout(self) -> float:
+        """How long to wait for a value of this kind before it counts as overdue."""
+        return self.mean + 4 * self.deviation
 
 
 class Worker:
-    """What is believed of one process of an invoker."""
+    """What is believed about one process of an invoker."""
 
     def __init__(self, entry: RosterEntry, now: float, deployment: Deployment):
         self.entry, self.zone, self.kind, self.started = entry, entry.zone, entry.kind, entry.started
+        # End of the slow start.
         self.warm_at = entry.started and entry.started + deployment.warm_after
+        # Whether it is in another zone than the controller and crossing zones has a price.
         self.far = deployment.crossing_price > 0 and entry.zone != deployment.own_zone
-        self.holds: dict[ModelBelief, None] = {}
-        # Where it stands in the index of workers, and whether that awaits the time at which it is warm.
+        self.models_held: dict[ModelBelief, None] = {}
+        # Its level in the index of workers (None: not in the index), and whether the index will update it when it
+        # becomes warm.
         self.level: int | None = None
-        self.awaited = False
+        self.in_warming_queue = False
         self.salt = salt_of(entry.invoker.name)
-        self.serving, self.heard, self.new, self.cold = False, now, True, 0
-        self.out: dict[Forward, None] = {}
-        self.suspect, self.rumour, self.trial_at, self.trial_gap = False, False, 0.0, FIRST_TRIAL
-        self.full_until = self.unfit_until = self.carried = self.rate = self.narrowed = self.strain = 0.0
-        # Of the slow start: what it may be sent now, None while that was never asked.
-        self.grant: float | None = None
-        self.granted_at, self.window, self.broken_at = now, FIRST_WINDOW, 0.0
-        # Readiness: when the last thing that it took was sent, when it last turned one away, until when it is not
-        # checked again and the pause after that, the check that is out.
-        self.ready_at = self.turned_away_at = -math.inf
-        self.unready_until, self.recheck_gap = 0.0, FIRST_RECHECK
+        # `new`: it has not answered a request of this controller yet. `cold_in_flight`: number of attempts in flight
+        # for models without an own entry here.
+        self.serving, self.last_received_at, self.new, self.cold_in_flight = False, now, True, 0
+        self.in_flight: dict[Forward, None] = {}
+        self.suspect, self.suspected_by_report, self.trial_at, self.trial_interval = (
+            False,
+            False,
+            0.0,
+            INITIAL_TRIAL_DELAY_MS,
+        )
+        # `full_until`: no attempts before; `no_loads_until`: no attempts that need a load before. `completed_work`
+        # since the last update and its average per ms, `work_rate`. `latency_ratio`: average of answer time over SLO
+        # time.
+        self.full_until = self.no_loads_until = self.completed_work = self.work_rate = self.window_narrowed_at = (
+            self.latency_ratio
+        ) = 0.0
+        # Slow start: work that it may be sent now; None until it is asked for.
+        self.budget: float | None = None
+        self.budget_updated_at, self.window, self.last_reset_at = now, INITIAL_WINDOW, 0.0
+        # Readiness: when the latest request that it accepted was sent, when it last refused one, the time before
+        # which it is not checked again and the next such delay, and the check in flight.
+        self.ready_at = self.refused_at = -math.inf
+        self.unready_until, self.recheck_delay = 0.0, INITIAL_RECHECK_DELAY_MS
         self.check: ReadinessCheck | None = None
-        # Whether its process may have ended since the last check that it passed; when that, or the end of such a time,
-        # was last seen.
-        self.perhaps_ended, self.restart_seen_at = False, -math.inf
+        # Whether its process may have ended since the last check that it passed, and when that was last noticed or
+        # resolved by a check.
+        self.may_have_ended, self.possible_restart_at = False, -math.inf
 
     @property
     def size(self) -> float:
         return self.entry.size
 
     @property
-    def busy(self) -> bool:
-        """Whether a pulse has something to do with it."""
-        return bool(self.out) or self.suspect or self.carried > 0 or self.rate > 1e-9
+    def needs_update(self) -> bool:
+        """Whether the periodic update has anything to do for it."""
+        return bool(self.in_flight) or self.suspect or self.completed_work > 0 or self.work_rate > 1e-9
 
     @property
-    def work(self) -> int:
-        # What waits for a load takes no core: it must not keep the warm copies beside it idle.
-        return len(self.out) - self.cold
+    def running_attempts(self) -> int:
+        """Attempts in flight that do not wait for a load.
+
+        An attempt that waits for a load uses no core, so it must not keep the warm copies on the worker idle.
+        """
+        return len(self.in_flight) - self.cold_in_flight
 
 
-def open_to(request: Inference, worker: Worker) -> bool:
-    """Under a plan of zones: the first that it names, and where a forward failed the others too."""
+def is_zone_allowed(request: Inference, worker: Worker) -> bool:
+    """Whether the plan of zones, if any, allows the worker: the first zone only, or any of them after a forward."""
     if request.zones is None:
         return True
     return worker.zone in (request.zones if request.forwards else request.zones[:1])
 
 
 class ReadinessCheck:
-    """A health check that is out, with the requests that wait for its end."""
+    """A health check in flight, with the requests that wait for its result."""
 
     def __init__(self, worker: Worker):
         self.worker = worker
@@ -90,34 +109,38 @@
 
 
 class OwnLoad:
-    """A load this controller has set going, with the inferences that wait here until it stands."""
+    """A load that this controller started, with the inferences that wait here until the copy is resident."""
 
-    def __init__(self, mdl: ModelBelief, worker: Worker, ordered: bool):
-        self.mdl, self.worker, self.ordered = mdl, worker, ordered
+    def __init__(self, model_belief: ModelBelief, worker: Worker, ordered: bool):
+        self.model_belief, self.worker, self.ordered = model_belief, worker, ordered
         self.waiting: dict[Inference, None] = {}
-        mdl.loads[worker] = self
-        worker.holds[mdl] = mdl.stood[worker] = None
+        model_belief.loads[worker] = self
+        worker.models_held[model_belief] = model_belief.holders[worker] = None
 
 
 class ModelBelief:
-    """What is believed of one model: its queue of warm invokers, own lanes taken, loads, shared places."""
+    """What is believed about one model: its warm invokers, own lanes in use, loads, and its shared order."""
 
-    def __init__(self, model: Model, number: int, turns: SharedOrder[Worker]):
-        self.model, self.number, self.lanes, self.look_at = model, number, 1, math.inf
+    def __init__(self, model: Model, number: int, shared_order: SharedOrder[Worker]):
+        self.model, self.number, self.lanes, self.check_at = model, number, 1, math.inf
         self.load_time: float | None = None
-        self.asked, self.asked_at, self.part = 0, 0.0, 0.0
-        self.turns = turns
-        # By worker: until when an entry holds, for how many copies; own lanes taken; own loads; all that ever held it;
-        # until when an entry holds that others told of.
+        # `recent_requests` decays over a keep-alive.
+        self.request_count, self.last_request_at, self.recent_requests = 0, 0.0, 0.0
+        self.shared_order = shared_order
+        # By worker: expiry of the entry and its number of copies; own lanes in use; own loads; every worker that has
+        # held the model; expiry of the entry if it rests on a report by another controller.
         self.warm: dict[Worker, tuple[float, int]] = {}
-        self.busy: dict[Worker, int] = {}
+        self.lanes_in_use: dict[Worker, int] = {}
         self.loads: dict[Worker, OwnLoad] = {}
-        self.stood: dict[Worker, None] = {}
-        self.told: dict[Worker, float] = {}
+        self.holders: dict[Worker, None] = {}
+        self.reported: dict[Worker, float] = {}
 
 
 class AttemptBelief:
-    """An attempt that is out. `cold`: no own entry says that the worker holds the model."""
+    """An attempt in flight. `cold`: no own entry says that the worker holds the model.
+
+    `rescued`: another attempt was already made, or this one called off, because it is overdue at a suspect.
+    """
 
     __slots__ = ("worker", "at", "cold", "rescued")
 
@@ -126,12 +149,16 @@
 
 
 class RequestBelief:
-    """An inference still owed an answer."""
+    """A request that has not been answered yet.
+
+    `low_priority`: beyond its tenant's share, or without any zone to go to. `jitter`: a random fraction added to a
+    worker's load when it is compared with the window.
+    """
 
-    def __init__(self, arrived: float, deadline: float, cheap: bool, luck: float):
-        self.arrived, self.deadline, self.cheap, self.luck = arrived, deadline, cheap, luck
-        # Attempts that may have run and are over: where, and when they were sent.
-        self.ran: list[tuple[Worker, float]] = []
+    def __init__(self, arrived: float, deadline: float, low_priority: bool, jitter: float):
+        self.arrived, self.deadline, self.low_priority, self.jitter = arrived, deadline, low_priority, jitter
+        # Attempts that ended and may have run: the worker, and when they were sent.
+        self.ended_attempts: list[tuple[Worker, float]] = []
         self.in_flight: dict[Forward, None] = {}
         self.tried: list[Worker] = []
         self.load: OwnLoad | None = None
--- a/sprucespool/policy/chance.py
+++ b/sprucespool/policy/chance.py
@@ -1,4 +1,4 @@
-"""Draws by chance that the same seed gives again."""
+"""Random draws that the same seed reproduces."""
 
 from __future__ import annotations
 
@@ -10,31 +10,34 @@
 
 
 class Chance:
-    """Numbers its draws: each is made from the seed and its number alone."""
+    """Random numbers, each computed from the seed and the sequence number of the draw alone."""
 
     def __init__(self, seed: int):
-        self.seed, self._taken = seed, 0
+        self.seed, self._reserved = seed, 0
 
-    def take(self, many: int = 1) -> int:
-        """Set so many numbers aside; gives the first of them."""
-        self._taken += many
-        return self._taken - many
+    def reserve(self, count: int = 1) -> int:
+        """Reserve `count` sequence numbers; returns the first of them."""
+        self._reserved += count
+        return self._reserved - count
 
     def draw(self, number: int) -> int:
-        """32 bits."""
+        """The 32-bit random number with this sequence number."""
         return zlib.crc32(b"%d:%d" % (self.seed, number))
 
     def next(self) -> int:
-        return self.draw(self.take())
+        return self.draw(self.reserve())
 
     def fraction(self) -> float:
-        """From 0 to 1."""
+        """A random number from 0 to 1."""
         return self.next() / 2**32
 
-    def first(self, keys: Sequence[Any], items: Sequence[Item]) -> Item:
-        """The item with the least key, ties by chance: each place has a draw of its own, made for ties alone."""
-        best, start = min(keys), self.take(len(items))
-        ties = [place for place, key in enumerate(keys) if key == best]
+    def pick_min(self, keys: Sequence[Any], items: Sequence[Item]) -> Item:
+        """The item with the smallest key, ties broken at random.
+
+        Each position reserves a sequence number, but a number is drawn only for ties.
+        """
+        best, start = min(keys), self.reserve(len(items))
+        ties = [position for position, key in enumerate(keys) if key == best]
         if len(ties) == 1:
             return items[ties[0]]
-        return items[min(ties, key=lambda place: self.draw(start + place))]
+        return items[min(ties, key=lambda position: self.draw(start + position))]
--- a/sprucespool/policy/order_ration.py
+++ b/sprucespool/policy/order_ration.py
@@ -1,4 +1,4 @@
-"""How many load orders a controller may send: a floor, and a share of the requests that were sent to it."""
+"""Limit on load orders: a fixed number, plus a share of the requests that were sent to the controller."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class OrderRation:
-    """Counts over a sliding `window`; without one orders are not limited. Times are milliseconds."""
+    """Counts over a sliding `window`; with a window of 0 orders are not limited. Times are in milliseconds."""
 
     def __init__(self, floor: float, share: float, window: float):
         self.floor, self.share, self.window = floor, share, window
@@ -15,7 +15,10 @@
         self._orders: deque[float] = deque()
 
     def request_sent(self, at: float, now: float) -> None:
-        """A request read `now` was sent at `at`, or later: after a pause of the process that may be long ago."""
+        """Count a request read at `now` that was sent at `at` or later.
+
+        After a pause of the process it may have been sent long before it is read.
+        """
         if self.window <= 0:
             return
         if at >= now:
--- a/sprucespool/policy/worker_index.py
+++ b/sprucespool/policy/worker_index.py
@@ -1,4 +1,4 @@
-"""Workers with room, by their own load: the least-loaded are found without a look at all."""
+"""Index of workers with room, by own load: finds the least loaded without scanning all workers."""
 
 from __future__ import annotations
 
@@ -8,46 +8,46 @@
 from sprucespool.policy.beliefs import Worker
 from sprucespool.policy.shared_order import SharedOrder
 
-# New and cold workers: they stand as if they had the mean load.
-AVERAGE = -1
-# An order is gone through where a level holds at least so large a part of it; else the level is put into order.
-FEW_PART = 8
+# Level of new and cold workers, which are treated as if they had the mean load.
+MEAN_LEVEL = -1
+# The shared order is scanned if a level has at least 1/8 as many workers; otherwise the level is sorted by rank.
+SORT_BELOW_DIVISOR = 8
 
 
 class WorkerIndex:
-    """Levels of own attempts in flight, in steps of `step`."""
+    """Workers grouped by level: own attempts in flight divided by `step`."""
 
     def __init__(self, step: int):
         self.step = step
         self.levels: dict[int, dict[Worker, None]] = {}
-        # Cold workers by the time from which they are warm; those that are no longer new.
-        self._warming: list[tuple[float, int, Worker]] = []
-        self._known: dict[Worker, None] = {}
-        self._filed = 0
+        # Cold workers by the time at which they become warm; workers that are no longer new.
+        self._warming_queue: list[tuple[float, int, Worker]] = []
+        self._newly_known: dict[Worker, None] = {}
+        self._sequence_number = 0
 
     def became_known(self, worker: Worker) -> None:
-        """It is no longer new: `due` gives it."""
-        self._known[worker] = None
+        """The worker is no longer new; `due` yields it."""
+        self._newly_known[worker] = None
 
     def due(self, now: float) -> Iterator[Worker]:
-        """Those that are to be filed anew since they are warm, or known, by now."""
-        while self._known:
-            yield self._known.popitem()[0]
-        while self._warming and self._warming[0][0] <= now:
-            yield heapq.heappop(self._warming)[2]
+        """The workers that have to be updated because they are warm, or known, by now."""
+        while self._newly_known:
+            yield self._newly_known.popitem()[0]
+        while self._warming_queue and self._warming_queue[0][0] <= now:
+            yield heapq.heappop(self._warming_queue)[2]
 
-    def _await_warm(self, worker: Worker) -> None:
-        if not worker.awaited:
-            worker.awaited = True
-            self._filed += 1
-            heapq.heappush(self._warming, (worker.warm_at, self._filed, worker))
+    def _queue_until_warm(self, worker: Worker) -> None:
+        if not worker.in_warming_queue:
+            worker.in_warming_queue = True
+            self._sequence_number += 1
+            heapq.heappush(self._warming_queue, (worker.warm_at, self._sequence_number, worker))
 
-    def file(self, worker: Worker, cold: bool) -> None:
-        """Bring up to date where the worker stands: nowhere once it has left or its window is full."""
+    def update(self, worker: Worker, cold: bool) -> None:
+        """Update the worker's level; it leaves the index if it is not in service or its window is full."""
         if cold:
-            self._await_warm(worker)
-        kept = worker.serving and worker.work < worker.window
-        level = None if not kept else AVERAGE if worker.new or cold else len(worker.out) // self.step
+            self._queue_until_warm(worker)
+        has_room = worker.serving and worker.running_attempts < worker.window
+        level = None if not has_room else MEAN_LEVEL if worker.new or cold else len(worker.in_flight) // self.step
         if level == worker.level:
             return
         if worker.level is not None:
@@ -59,29 +59,31 @@
         worker.level = level
 
     def least_loaded(
-        self, shared: SharedOrder[Worker], mean: int, places: int, fits: Callable[[Worker], bool]
+        self, shared_order: SharedOrder[Worker], mean: int, places: int, fits: Callable[[Worker], bool]
     ) -> list[Worker]:
-        """Those of the lowest level that fit: of the own zone first, then the first in the shared order.
+        """The fitting workers of the lowest level that has any: own zone first, then by rank in the shared order.
 
-        The first `places` of the order are equals. `mean` is the level at which new and cold workers stand.
+        The first `places` of the order count as equal. `mean` is the level used for new and cold workers.
         """
-        order, ranks = shared.order, shared.ranks
-        average = self.levels.get(AVERAGE, {})
+        order, ranks = shared_order.order, shared_order.ranks
+        mean_level_workers = self.levels.get(MEAN_LEVEL, {})
         for level in sorted({max(level, mean) if level < 0 else level for level in self.levels}):
-            held, also = self.levels.get(level, {}), average if level == mean else {}
-            few = FEW_PART * (len(held) + len(also)) < len(order)
+            level_workers, mean_workers = self.levels.get(level, {}), mean_level_workers if level == mean else {}
+            sort_level = SORT_BELOW_DIVISOR * (len(level_workers) + len(mean_workers)) < len(order)
             ties: list[Worker] = []
-            key = None
+            tie_key = None
             ranked = order
-            if few:
-                ranked = sorted([worker for worker in (*held, *also) if worker in ranks], key=ranks.__getitem__)
+            if sort_level:
+                ranked = sorted(
+                    [worker for worker in (*level_workers, *mean_workers) if worker in ranks], key=ranks.__getitem__
+                )
             for worker in ranked:
-                if few or worker.level == level or also and worker.level == AVERAGE:
-                    its = worker.far, max(places - 1, ranks[worker])
-                    if ties and its != key:
+                if sort_level or worker.level == level or mean_workers and worker.level == MEAN_LEVEL:
+                    worker_key = worker.far, max(places - 1, ranks[worker])
+                    if ties and worker_key != tie_key:
                         break
                     if fits(worker):
-                        key = its
+                        tie_key = worker_key
                         ties.append(worker)
             if ties:
                 return ties
--- a/sprucespool/policy/workers_in_service.py
+++ b/sprucespool/policy/workers_in_service.py
@@ -1,4 +1,4 @@
-"""The workers in service, in the order in which they came."""
+"""The workers in service, in the order in which they joined."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class WorkersInService:
-    """Changes cost no more than what changes: the list that is drawn from by place is made when it is asked for."""
+    """A set with access by position. The list for that is built on demand, so a change costs only what it changes."""
 
     def __init__(self) -> None:
         self._workers: dict[Worker, None] = {}
-        self._places: list[Worker] | None = None
+        self._positions: list[Worker] | None = None
 
     def __contains__(self, worker: object) -> bool:
         return worker in self._workers
@@ -23,16 +23,16 @@
     def __iter__(self) -> Iterator[Worker]:
         return iter(self._workers)
 
-    def __getitem__(self, place: int) -> Worker:
-        if self._places is None:
-            self._places = list(self._workers)
-        return self._places[place]
+    def __getitem__(self, position: int) -> Worker:
+        if self._positions is None:
+            self._positions = list(self._workers)
+        return self._positions[position]
 
     def add(self, worker: Worker) -> None:
         self._workers[worker] = None
-        self._places = None
+        self._positions = None
 
     def remove(self, worker: Worker) -> None:
-        """One that is not there is passed over."""
+        """Remove the worker; does nothing if it is not in service."""
         if self._workers.pop(worker, worker) is None:
-            self._places = None
+            self._positions = None
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -156,7 +156,7 @@
     world.roster(*[f"w{n}" for n in range(10)])
     ill = [world.invokers[f"w{n}"] for n in range(3)]
     for invoker in ill:
-        world.controller._doubt(invoker.belief)
+        world.controller._suspect(invoker.belief)
     sent = []
     for n in range(60):
         world.wait(300.0)
@@ -193,7 +193,7 @@
         forward = forwards(world.arrive("m")[1])[0]
         world.wait(100.0)
         world.end(forward)
-    usual = world.controller.usual[world.dep.groups[0]].mean
+    usual = world.controller.usual_time[world.dep.groups[0]].mean
     assert 0.5 < world.controller.slow_start.rates["std", "a"] / (usual / 100.0) < 1.5
 
 
@@ -208,7 +208,7 @@
     tenant = it.Tenant("t", 1.0, 40.0)
     world = World(deployment(tenants=[tenant], controllers=40))
     world.roster("w0", "w1")
-    cheap = [world.arrive("m", tenant=tenant)[0].belief.cheap for _ in range(20)]
+    cheap = [world.arrive("m", tenant=tenant)[0].belief.low_priority for _ in range(20)]
     assert not any(cheap[:8]) and cheap[-1]
 
 
@@ -310,7 +310,7 @@
             for forward in forwards(world.arrive("hot")[1]):
                 world.end(forward)
         world.roster(f"w{n}", status=it.Status.GONE)
-    assert len(world.models["hot"].belief.stood) <= 2
+    assert len(world.models["hot"].belief.holders) <= 2
 
 
 def test_an_invoker_that_others_can_not_reach_is_left_aside_until_an_answer_or_their_word_and_never_most_of_them():
@@ -341,7 +341,7 @@
     world.roster("w0", "w1", "w2")
     pod = world.invokers["w0"].belief
     world.tell(it.Doubted(world.invokers["w0"], True))
-    world.controller._doubt(pod)
+    world.controller._suspect(pod)
     world.tell(it.Doubted(world.invokers["w0"], False))
     assert pod.suspect
 
@@ -365,7 +365,7 @@
             world.wait(20.0)
             for forward in list(world.out)[:2]:
                 world.end(forward)
-        return cold, world.arrive("m", tenant=tenant)[0].belief.cheap
+        return cold, world.arrive("m", tenant=tenant)[0].belief.low_priority
 
     assert played(it.Sharing(3, float("inf"))) == (0, True)
     cold, cheap = played()
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -13,7 +13,7 @@
 USUAL, LASTS, STEPS = 200, 10_000.0, 10
 # Guards what is: of the usual fleet in lines, half as many again as counted since other versions of Python count
 # otherwise; of larger ones as multiples of it, a tenth above what was counted. What
-# still grows: shared orders of a part of the fleet are drawn from all of it (`SharedOrder._refresh_part`).
+# still grows: shared orders of a part of the fleet are drawn from all of it (`SharedOrder._refresh_partial`).
 MOST_LINES_A_REQUEST, MOST_LINES_AN_ENTRY = 4_500, 170
 MOST_TIMES_A_REQUEST, MOST_TIMES_AN_ENTRY = {4: 3.1, 16: 4.5}, {4: 1.1, 16: 1.1}
 
