--- a/sprucespool/interface.py
+++ b/sprucespool/interface.py
@@ -1,7 +1,7 @@
-"""What the decision module is told and what it answers. Plain data: nothing here decides.
+"""Events that the decision module receives and actions that it returns. Plain data without any decisions.
 
-Times are float milliseconds. Objects point to each other; `name` is for the door and for logs only.
-`belief` on a fact belongs to the controller that was handed the fact; whoever hands it over leaves it alone.
+Times are float milliseconds. Objects refer to each other directly; `name` is only for the adapter and for logs.
+The attribute `belief` belongs to the controller that received the object; its caller must not touch it.
 """
 
 from __future__ import annotations
@@ -13,13 +13,15 @@
 
 
 class Effect(Enum):
+    """Whether an inference may run more than once: always, with the invokers dropping repeats, or never."""
+
     RETRIABLE = "retriable"
     DEDUPED = "deduped"
     NON_RETRIABLE = "non-retriable"
 
 
 class Scope(Enum):
-    """Which invokers drop the repeats of a deduped inference together."""
+    """Which invokers deduplicate inferences together."""
 
     ALL = "all"
     ZONE = "zone"
@@ -33,6 +35,8 @@
 
 
 class Outcome(Enum):
+    """How a forward, a load order or a probe ended."""
+
     RETURNED = "returned"
     ERROR = "error"
     FULL = "full"
@@ -45,7 +49,7 @@
 
 
 class Found(Enum):
-    """What a returned forward found at the invoker."""
+    """The state of the model at the invoker when a returned forward arrived there."""
 
     UNTOLD = "untold"
     WARM = "warm"
@@ -54,6 +58,8 @@
 
 
 class News(Enum):
+    """Kind of a roster change: an update names only changed entries, `REPLACE` and `RESTORED` are full lists."""
+
     UPDATE = "update"
     REPLACE = "replace"
     RESTORED = "restored"
@@ -83,7 +89,7 @@
 
 @dataclass(slots=True, eq=False)
 class Deployment:
-    """What holds for the whole life of a controller."""
+    """Facts and settings that stay fixed for the lifetime of a controller."""
 
     controllers: int
     own_number: int
@@ -150,10 +156,10 @@
     load_time: float | None
     repeat: bool
     write: bool
-    # Zones of invokers that it may go to, the first of them first; none at all: it is to be shed. None: anywhere.
-    # Told only where controllers follow a plan of zones in common.
+    # Zones of the invokers that it may go to, in order of preference; empty: it is to be shed; None: any zone. Set only
+    # if the controllers follow a common plan of zones.
     zones: tuple[str, ...] | None = None
-    # For how long it may have waited unread, as through a pause of the process.
+    # How long it may have waited before it was read, for example during a pause of the process.
     waited: float = 0.0
     forwards: list[Forward] = field(default_factory=list)
     belief: Any = None
@@ -161,13 +167,13 @@
 
 @dataclass(slots=True, eq=False)
 class Forward:
-    """Action: send the inference to the invoker. The same object comes back in `Ended`."""
+    """Action: send the inference to the invoker. `Ended` returns the same object."""
 
     inference: Inference
     invoker: Invoker
     time_out: float
     belief: Any = None
-    # When it is too late to begin to write it: it ends as not sent then.
+    # If writing has not begun by this time, the forward ends as not sent.
     write_by: float = math.inf
 
 
@@ -192,11 +198,15 @@
 
 @dataclass(slots=True, eq=False)
 class Departed:
+    """The client left before the answer."""
+
     inference: Inference
 
 
 @dataclass(slots=True, eq=False)
 class Ended:
+    """A forward ended; `final`: the inference needs no further answer."""
+
     forward: Forward
     outcome: Outcome
     final: bool
@@ -209,6 +219,8 @@
 
 @dataclass(slots=True, eq=False)
 class Streaming:
+    """The first part of a streamed answer arrived."""
+
     forward: Forward
     elapsed: float
 
@@ -222,15 +234,17 @@
 
 @dataclass(slots=True, eq=False)
 class DiscoveryHeard:
-    """All that discovery has to tell was last heard so long ago; None: it is asked, and was not heard yet. Told where
-    a watch stands; where nobody tells of it, the list of invokers counts as current."""
+    """All that discovery had to report until `age` ms ago is known; None: it was asked and has not answered yet.
+
+    Sent only where discovery is watched; without it the list of invokers counts as current.
+    """
 
     age: float | None
 
 
 @dataclass(slots=True, eq=False)
 class Disconnected:
-    """The invoker ended the last connection to it: what answers there next may be another process."""
+    """The invoker closed the last connection to it: the next answer may come from another process."""
 
     invoker: Invoker
 
@@ -265,7 +279,7 @@
 
 @dataclass(slots=True, eq=False)
 class Told:
-    """Another's word that copies stand, good for `life` at the most; none of it left takes the word back."""
+    """Another controller reports resident copies, valid for `life` ms at most; 0 or less withdraws the report."""
 
     invoker: Invoker
     model: Model
@@ -276,15 +290,17 @@
 
 @dataclass(slots=True, eq=False)
 class BeliefsAsked:
-    """Somebody wants to know what is believed to stand where."""
+    """Request for the copies that are believed to be resident, answered by `Beliefs`."""
 
     token: int
 
 
 @dataclass(slots=True, eq=False)
 class Sharing:
-    """So many controllers are there, and what all share is to be divided by `sharers` for this one's part: infinite
-    while it may hold none of it. Told only where controllers know of each other."""
+    """Number of live controllers, and the divisor that gives this controller's share of what all of them share.
+
+    `sharers` is infinite while this controller may use no share. Sent only where controllers know each other.
+    """
 
     live: int
     sharers: float
@@ -292,8 +308,11 @@
 
 @dataclass(slots=True, eq=False)
 class Doubted:
-    """Other controllers cannot reach the invoker, and this one has not just heard from it; or they no longer say so.
-    Told only where controllers know of each other."""
+    """Reported suspicion of an invoker. Sent only where controllers know each other.
+
+    `ill`: other controllers cannot reach the invoker, and this one has not just received anything from it. Otherwise
+    the earlier report is withdrawn.
+    """
 
     invoker: Invoker
     ill: bool
@@ -320,7 +339,7 @@
 
 @dataclass(slots=True, eq=False)
 class Order:
-    """Hold at least `copies` of the model at the invoker; none only asks."""
+    """Load order: hold at least `copies` of the model at the invoker; 0 only asks for the number of copies."""
 
     invoker: Invoker
     model: Model
@@ -372,7 +391,7 @@
 
 @dataclass(slots=True, eq=False)
 class Standing:
-    """Copies believed to stand; `age` since the last sign of them, `own` if that was an own answer."""
+    """Copies believed to be resident; `age` since the last evidence of them, `own` if that was an own answer."""
 
     invoker: Invoker
     model: Model
