--- a/tests/equal.py
+++ b/tests/equal.py
@@ -1,4 +1,4 @@
-"""Generated days for the decisions, and a digest of all that the module was told and did on them."""
+"""Generated days for the decisions, and digests of all events and actions of the decision module on them."""
 
 from __future__ import annotations
 
@@ -12,36 +12,36 @@
 from sprucespool.policy import Controller
 
 
-def told(what) -> str:
-    """An event or action as a line: what it says, by names."""
-    if isinstance(what, it.Forward):
-        return f"forward {what.inference.name} {what.invoker.name} {what.time_out:.6f}"
-    parts = [type(what).__name__]
-    for field in what.__slots__:
-        value = getattr(what, field)
+def describe(item) -> str:
+    """An event or action as a line of text, with objects by their names."""
+    if isinstance(item, it.Forward):
+        return f"forward {item.inference.name} {item.invoker.name} {item.time_out:.6f}"
+    words = [type(item).__name__]
+    for field in item.__slots__:
+        value = getattr(item, field)
         if isinstance(value, it.Forward):
-            parts.append(f"{value.inference.name}>{value.invoker.name}")
+            words.append(f"{value.inference.name}>{value.invoker.name}")
         elif isinstance(value, list):
-            parts.append(str(len(value)))
+            words.append(str(len(value)))
         elif isinstance(value, float):
-            parts.append(f"{value:.6f}")
+            words.append(f"{value:.6f}")
         else:
-            parts.append(getattr(value, "name", str(value)))
-    return " ".join(parts)
+            words.append(getattr(value, "name", str(value)))
+    return " ".join(words)
 
 
-class Recorded:
-    """Digests after each 200 batches, so that a difference is found near where it began; lines where wanted."""
+class RecordingController:
+    """Records a digest after every 200 batches, to locate the first difference; also the lines if `keep_lines`."""
 
-    def __init__(self, dep, seed, keep=False, decider=Controller):
+    def __init__(self, dep, seed, keep_lines=False, decider=Controller):
         self.module, self.digest, self.batches = decider(dep, seed), hashlib.blake2b(digest_size=8), 0
-        self.marks, self.lines, self.keep, self.actions = [], [], keep, 0
+        self.marks, self.lines, self.keep_lines, self.actions = [], [], keep_lines, 0
 
     def handle(self, now, events):
         actions = self.module.handle(now, events)
-        lines = [f"{now:.6f}", *map(told, events), "->", *map(told, actions)]
+        lines = [f"{now:.6f}", *map(describe, events), "->", *map(describe, actions)]
         self.digest.update("\n".join(lines).encode())
-        if self.keep:
+        if self.keep_lines:
             self.lines += lines
         self.batches, self.actions = self.batches + 1, self.actions + len(actions)
         if self.batches % 200 == 0:
@@ -113,14 +113,14 @@
 }
 
 
-def play(name: str, keep: bool = False, decider=Controller) -> Recorded:
-    plan, over = DAYS[name]
-    made = []
+def play(name: str, keep_lines: bool = False, decider=Controller) -> RecordingController:
+    plan, overrides = DAYS[name]
+    created = []
 
-    def recorded(dep, seed):
-        made.append(Recorded(dep, seed, keep, decider))
-        return made[0]
+    def create_recorder(dep, seed):
+        created.append(RecordingController(dep, seed, keep_lines, decider))
+        return created[0]
 
-    # The decider's own times for parts of a day must not matter: virtual time alone moves it.
-    Solo(deployment(FREE, ONCE, ZONE, **{"tick": 4.0, "warm_after": 5000.0, **over}), plan, recorded).run()
-    return made[0]
+    # The time that the decisions take must not matter, so the day runs on virtual time only.
+    Solo(deployment(FREE, ONCE, ZONE, **{"tick": 4.0, "warm_after": 5000.0, **overrides}), plan, create_recorder).run()
+    return created[0]
--- a/tests/test_equal.py
+++ b/tests/test_equal.py
@@ -1,6 +1,6 @@
-"""The decisions on generated days are those of the recorded module, action by action.
+"""The decisions on generated days equal the recorded ones, action by action.
 
-`python tests/test_equal.py` writes the record anew; to be done only where decisions are meant to change, and scored.
+`python tests/test_equal.py` rewrites the record. Do that only for intended changes of decisions that have been scored.
 """
 
 import json
@@ -19,22 +19,24 @@
 
 @pytest.mark.parametrize("name", DAYS)
 def test_decisions_are_those_recorded(name):
-    recorded, found = json.loads(RECORD.read_text())[name], play(name)
-    assert found.actions > 500
-    differ = next(
-        (n for n, (old, new) in enumerate(zip(recorded["marks"], found.marks, strict=False)) if old != new), None
+    recorded, played = json.loads(RECORD.read_text())[name], play(name)
+    assert played.actions > 500
+    first_difference = next(
+        (n for n, (old, new) in enumerate(zip(recorded["marks"], played.marks, strict=False)) if old != new), None
     )
-    assert differ is None, f"the first difference lies in batches {differ * 200} to {differ * 200 + 200}"
-    assert (found.batches, found.digest.hexdigest()) == (recorded["batches"], recorded["digest"])
+    assert first_difference is None, (
+        f"the first difference is in batches {first_difference * 200} to {first_difference * 200 + 200}"
+    )
+    assert (played.batches, played.digest.hexdigest()) == (recorded["batches"], recorded["digest"])
 
 
 if __name__ == "__main__":
     RECORD.write_text(
         json.dumps(
             {
-                name: {"batches": one.batches, "digest": one.digest.hexdigest(), "marks": one.marks}
+                name: {"batches": played.batches, "digest": played.digest.hexdigest(), "marks": played.marks}
                 for name in DAYS
-                for one in [play(name)]
+                for played in [play(name)]
             },
             indent=0,
         )
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The module beside the plain rules of `world` on generated days: each act must be allowed."""
+"""Property test: on generated sequences of events the rules in `world` must allow each action of the controller."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -31,7 +31,7 @@
     ]
 
 
-def place(number):
+def location(number):
     return dict(zone="ab"[number % 2], cell=str(number // 2))
 
 
@@ -44,7 +44,7 @@
     st.sampled_from([0.0, 1e3]),
     st.sampled_from([2, 50]),
 )
-def test_every_act_is_allowed(steps, loads_on_miss, duplicates, orders, ration, controllers):
+def test_every_action_is_allowed(steps, loads_on_miss, duplicates, orders, ration, controllers):
     world = World(
         deployment(
             *groups(),
@@ -58,43 +58,43 @@
         )
     )
     for n in range(4):
-        world.roster(f"w{n}", **place(n))
+        world.roster(f"w{n}", **location(n))
     for step, *how in steps:
         if step == "arrive":
             world.arrive(f"m{how[0]}", world.dep.groups[how[1]], how[2], waited=how[3])
-        elif step == "end" and world.out:
-            forward = list(world.out)[how[0] % len(world.out)]
-            if how[1] is not it.Outcome.RETURNED or forward.inference in world.open:
+        elif step == "end" and world.in_flight:
+            forward = list(world.in_flight)[how[0] % len(world.in_flight)]
+            if how[1] is not it.Outcome.RETURNED or forward.inference in world.unanswered:
                 world.end(forward, how[1], how[2])
         elif step == "settle" and world.orders:
             world.settle(world.orders[how[0] % len(world.orders)], how[1])
         elif step == "wait":
             world.wait(how[0])
-        elif step == "depart" and world.open:
-            world.depart(list(world.open)[how[0] % len(world.open)])
+        elif step == "depart" and world.unanswered:
+            world.depart(list(world.unanswered)[how[0] % len(world.unanswered)])
         elif step == "roster":
-            world.roster(f"w{how[0]}", status=how[1], started=world.now if how[2] else 0.0, **place(how[0]))
+            world.roster(f"w{how[0]}", status=how[1], started=world.now if how[2] else 0.0, **location(how[0]))
         elif step == "replace":
             for n in range(how[0]):
-                world.roster(f"w{n}", kind=it.News.UPDATE, **place(n))
+                world.roster(f"w{n}", kind=it.News.UPDATE, **location(n))
             world.roster(*[f"w{n}" for n in range(4) if n % 2 == 0 and n < how[0]], kind=it.News.REPLACE)
     world.wait(12000.0)
-    assert not world.open, "an inference without an answer"
+    assert not world.unanswered, "an inference was never answered"
 
 
-def test_requests_that_waited_through_a_pause_allow_no_load_orders_of_after_it():
-    """Sent over five seconds and read in one turn, they are not the traffic of the window in which they are read."""
+def test_requests_sent_before_a_pause_allow_no_load_orders_after_it():
+    """Requests sent over five seconds but read in one batch do not all count in the window in which they are read."""
     world = World(deployment(loads_on_miss=False, order_window=1000.0, order_floor=4.0, order_share=0.2, controllers=9))
     world.roster(*(f"w{n}" for n in range(40)))
     world.wait(100.0)
     for number in range(60):
         world.arrive(f"m{number}", waited=5000.0 - 80.0 * number)
-    for forward in list(world.out):
+    for forward in list(world.in_flight):
         world.end(forward, it.Outcome.MISS)
     assert 0 < len(world.order_times) <= 4 + 0.2 * 12
 
 
-def test_the_ration_counts_requests_by_when_they_were_sent():
+def test_the_order_limit_counts_requests_by_when_they_were_sent():
     ration = OrderRation(floor=1.0, share=0.5, window=1000.0)
     ration.request_sent(at=4_500.0, now=5_000.0)
     ration.request_sent(at=5_000.0, now=5_000.0)
@@ -103,5 +103,5 @@
     ration.order_sent(5_000.0)
     assert ration.allows_order(5_400.0)
     ration.order_sent(5_400.0)
-    # Of the three requests one is left in the window, and both orders.
+    # One of the three requests and both orders are left in the window.
     assert not ration.allows_order(5_600.0)
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,4 +1,4 @@
-"""A hand-driven controller for the tests, and the five rules told plainly."""
+"""A controller driven by hand for the tests, and plain checks of the five rules for its actions."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 PROVES_NOT_RUN = {it.Outcome.FULL, it.Outcome.UNCONNECTED, it.Outcome.NOT_SENT, it.Outcome.MISS}
 
 
-def group(name="line", effect=it.Effect.RETRIABLE, scope=it.Scope.ALL, **over):
-    facts = dict(
+def group(name="line", effect=it.Effect.RETRIABLE, scope=it.Scope.ALL, **overrides):
+    fields = dict(
         name=name,
         slo_time=600.0,
         slo_per_work=0.0,
@@ -21,11 +21,11 @@
         dedup_window=1000.0,
         streamed=False,
     )
-    return it.ModelGroup(**{**facts, **over})
+    return it.ModelGroup(**{**fields, **overrides})
 
 
-def deployment(*groups, **over):
-    facts = dict(
+def deployment(*groups, **overrides):
+    fields = dict(
         controllers=2,
         own_number=0,
         own_zone="a",
@@ -65,30 +65,30 @@
         crossing_price=0.0,
         handshake_price=0.0,
     )
-    return it.Deployment(**{**facts, **over})
+    return it.Deployment(**{**fields, **overrides})
 
 
 class World:
-    """Hands events to a controller, keeps what it does, and checks each act against the rules as it comes."""
+    """Sends events to a controller, records its actions, and checks each action against the rules at once."""
 
     def __init__(self, dep: it.Deployment, seed=7):
         self.dep, self.now, self.controller = dep, 1000.0, Controller(dep, seed)
         self.invokers: dict[str, it.Invoker] = {}
         self.models: dict[str, it.Model] = {}
         self.status: dict[it.Invoker, tuple] = {}
-        self.open: dict[it.Inference, float] = {}
-        self.out: dict[it.Forward, float] = {}
+        self.unanswered: dict[it.Inference, float] = {}
+        self.in_flight: dict[it.Forward, float] = {}
         self.ran: dict[it.Inference, list] = {}
         self.orders: list[it.Order] = []
         self.order_times: list[float] = []
         self.arrival_times: list[float] = []
         self.timers: list[tuple[float, int]] = []
-        self.cold_work: list[tuple[float, it.Invoker]] = []
+        self.cold_forwards: list[tuple[float, it.Invoker]] = []
 
-    def tell(self, *events):
+    def send(self, *events):
         actions = self.controller.handle(self.now, list(events))
         for action in actions:
-            self._judge(action)
+            self._check_action(action)
         return actions
 
     def roster(self, *names, kind=it.News.UPDATE, status=it.Status.IN_SERVICE, started=0.0, zone="a", cell="1"):
@@ -97,18 +97,18 @@
             invoker = self.invokers.setdefault(name, it.Invoker(name))
             entries.append(it.RosterEntry(invoker, zone, "std", cell, status, 1.0, started))
         if kind is not it.News.UPDATE:
-            for invoker, facts in self.status.items():
-                self.status[invoker] = (it.Status.GONE, *facts[1:])
+            for invoker, state in self.status.items():
+                self.status[invoker] = (it.Status.GONE, *state[1:])
         for entry in entries:
             self.status[entry.invoker] = (entry.status, entry.zone, entry.cell, entry.started)
-        return self.tell(it.RosterNews(kind, 1, entries))
+        return self.send(it.RosterNews(kind, 1, entries))
 
-    def arrive(self, model="m", grp=None, ttl=2500.0, lanes=1, **over):
-        mdl = self.models.setdefault(model, it.Model(model))
-        facts = dict(
+    def arrive(self, model="m", model_group=None, ttl=2500.0, lanes=1, **overrides):
+        model_object = self.models.setdefault(model, it.Model(model))
+        fields = dict(
             name=f"i{len(self.arrival_times)}",
-            group=grp or self.dep.groups[0],
-            model=mdl,
+            group=model_group or self.dep.groups[0],
+            model=model_object,
             tenant=None,
             ttl=ttl,
             work=None,
@@ -118,65 +118,66 @@
             repeat=False,
             write=False,
         )
-        inf = it.Inference(**{**facts, **over})
-        self.open[inf] = self.now + ttl
-        self.ran[inf] = []
-        self.arrival_times.append(self.now - inf.waited)
-        return inf, self.tell(it.Arrived(inf))
+        inference = it.Inference(**{**fields, **overrides})
+        self.unanswered[inference] = self.now + ttl
+        self.ran[inference] = []
+        self.arrival_times.append(self.now - inference.waited)
+        return inference, self.send(it.Arrived(inference))
 
     def end(self, forward, outcome=it.Outcome.RETURNED, found=it.Found.WARM, load_failed=False):
-        inf, sent = forward.inference, self.out.pop(forward)
-        final = inf not in self.open or outcome is it.Outcome.RETURNED
+        inference, sent = forward.inference, self.in_flight.pop(forward)
+        final = inference not in self.unanswered or outcome is it.Outcome.RETURNED
         if final:
-            self.open.pop(inf, None)
+            self.unanswered.pop(inference, None)
         if outcome not in PROVES_NOT_RUN:
-            self.ran[inf].append((forward.invoker, sent))
-        return self.tell(it.Ended(forward, outcome, final, self.now - sent, found, load_failed, 0, {}))
+            self.ran[inference].append((forward.invoker, sent))
+        return self.send(it.Ended(forward, outcome, final, self.now - sent, found, load_failed, 0, {}))
 
     def settle(self, order, outcome=it.Outcome.RETURNED, standing=1):
         self.orders.remove(order)
-        return self.tell(it.OrderSettled(order.invoker, order.model, outcome, standing, 800.0))
+        return self.send(it.OrderSettled(order.invoker, order.model, outcome, standing, 800.0))
 
-    def depart(self, inf):
-        self.open.pop(inf)
-        return self.tell(it.Departed(inf))
+    def depart(self, inference):
+        self.unanswered.pop(inference)
+        return self.send(it.Departed(inference))
 
-    def wait(self, span):
-        """Time passes; timers come when they are due, and a forward past its time-out ends."""
-        done, end = [], self.now + span
+    def wait(self, duration):
+        """Let time pass: timers fire when they are due, and forwards end at their timeout."""
+        done, end = [], self.now + duration
         while True:
             due = min(
-                [at for at, _ in self.timers] + [sent + f.time_out for f, sent in self.out.items()], default=end + 1
+                [at for at, _ in self.timers] + [sent + f.time_out for f, sent in self.in_flight.items()],
+                default=end + 1,
             )
             if due > end:
                 break
             self.now = max(self.now, due)
-            for forward, sent in list(self.out.items()):
+            for forward, sent in list(self.in_flight.items()):
                 if sent + forward.time_out <= self.now:
                     done += self.end(forward, it.Outcome.TIMED_OUT)
             for timer in [timer for timer in self.timers if timer[0] <= self.now]:
                 self.timers.remove(timer)
-                done += self.tell(it.TimerDue(timer[1]))
-            for inf, until in self.open.items():
-                assert self.now <= until + self.dep.answer_slack, f"{inf.name} was never answered"
+                done += self.send(it.TimerDue(timer[1]))
+            for inference, until in self.unanswered.items():
+                assert self.now <= until + self.dep.answer_slack, f"{inference.name} was never answered"
         self.now = end
         return done
 
-    def _judge(self, action):
+    def _check_action(self, action):
         if isinstance(action, it.Forward):
-            self._judge_forward(action)
+            self._check_forward(action)
         elif isinstance(action, (it.Shed, it.Fail)):
-            inf = action.inference
-            assert inf in self.open, "a second final answer"
+            inference = action.inference
+            assert inference in self.unanswered, "a second final answer"
             if isinstance(action, it.Shed):
-                maybe = self.ran[inf] or [f for f in self.out if f.inference is inf]
+                perhaps_run = self.ran[inference] or [f for f in self.in_flight if f.inference is inference]
                 assert (
-                    inf.group.effect is it.Effect.RETRIABLE
-                    or not maybe
-                    or inf.group.effect is it.Effect.DEDUPED
-                    and inf.group.scope is it.Scope.ALL
+                    inference.group.effect is it.Effect.RETRIABLE
+                    or not perhaps_run
+                    or inference.group.effect is it.Effect.DEDUPED
+                    and inference.group.scope is it.Scope.ALL
                 )
-            del self.open[inf]
+            del self.unanswered[inference]
         elif isinstance(action, it.Order):
             self.orders.append(action)
             if action.copies:
@@ -184,33 +185,33 @@
                 self.order_times.append(self.now)
                 if self.dep.order_window:
                     since = self.now - self.dep.order_window
-                    taken = sum(at > since for at in self.arrival_times)
-                    most = self.dep.order_floor + self.dep.order_share * taken
-                    assert sum(t >= since for t in self.order_times) <= most, "orders beyond the ration"
+                    requests = sum(at > since for at in self.arrival_times)
+                    allowed = self.dep.order_floor + self.dep.order_share * requests
+                    assert sum(t >= since for t in self.order_times) <= allowed, "more load orders than allowed"
         elif isinstance(action, it.SetTimer):
             self.timers.append((self.now + max(action.after, 0.001), action.token))
 
-    def _judge_forward(self, forward):
-        inf, invoker = forward.inference, forward.invoker
+    def _check_forward(self, forward):
+        inference, invoker = forward.inference, forward.invoker
         status, zone, cell, started = self.status[invoker]
-        assert inf in self.open, "a forward after the answer"
-        assert self.now < self.open[inf], "a forward after the client's time"
+        assert inference in self.unanswered, "a forward after the answer"
+        assert self.now < self.unanswered[inference], "a forward after the client's timeout"
         assert status is it.Status.IN_SERVICE, "a forward to a drained invoker"
-        out = [(f.invoker, sent) for f, sent in self.out.items() if f.inference is inf]
-        assert self.dep.may_duplicate or not out, "two forwards at once"
-        maybe = self.ran[inf] + out
-        if inf.group.effect is it.Effect.NON_RETRIABLE:
-            assert not maybe, "a non-retriable inference that may have run was sent again"
-        if inf.group.effect is it.Effect.DEDUPED:
-            for other, sent in maybe:
-                _, its_zone, its_cell, _ = self.status[other]
-                assert self.now - sent < inf.group.dedup_window, "a repeat after it is forgotten"
+        in_flight = [(f.invoker, sent) for f, sent in self.in_flight.items() if f.inference is inference]
+        assert self.dep.may_duplicate or not in_flight, "two forwards at once"
+        perhaps_run = self.ran[inference] + in_flight
+        if inference.group.effect is it.Effect.NON_RETRIABLE:
+            assert not perhaps_run, "a non-retriable inference that may have run was sent again"
+        if inference.group.effect is it.Effect.DEDUPED:
+            for other, sent in perhaps_run:
+                _, other_zone, other_cell, _ = self.status[other]
+                assert self.now - sent < inference.group.dedup_window, "a repeat after the deduplication window"
                 assert (
-                    inf.group.scope is it.Scope.ALL
-                    or its_zone == zone
-                    and (inf.group.scope is it.Scope.ZONE or its_cell == cell)
-                ), "a repeat outside its group"
-        assert len(inf.forwards) <= self.dep.most_forwards
+                    inference.group.scope is it.Scope.ALL
+                    or other_zone == zone
+                    and (inference.group.scope is it.Scope.ZONE or other_cell == cell)
+                ), "a repeat outside its deduplication scope"
+        assert len(inference.forwards) <= self.dep.most_forwards
         if started and self.now < started + self.dep.warm_after:
-            self.cold_work.append((self.now, invoker))
-        self.out[forward] = self.now
+            self.cold_forwards.append((self.now, invoker))
+        self.in_flight[forward] = self.now
