--- a/sprucespool/policy/controller.py
+++ b/sprucespool/policy/controller.py
@@ -71,7 +71,7 @@
 from sprucespool.policy.worker_index import WorkerIndex
 from sprucespool.policy.workers_in_service import WorkersInService
 
-PULSE_TIMER, DUE_TIMER, PULSE_INTERVAL_MS = 1, 2, 200.0
+UPDATE_TIMER, DUE_TIMER, UPDATE_INTERVAL_MS = 1, 2, 200.0
 NEVER_RAN = (Outcome.FULL, Outcome.UNCONNECTED, Outcome.NOT_SENT, Outcome.MISS)
 # SLOW_ANSWER_RATIO: an answer this many times slower than usual does not clear a suspect.
 # MAX_TRIAL_INTERVAL_MS: trials of a suspect become less frequent up to this interval, so a long silence costs few.
@@ -86,7 +86,7 @@
 MAX_IDLE_KEEP_ALIVES, OTHERS_KEEP_ABOVE, MIN_LOADS, PARKED_PER_WORKER, LOAD_STEP, MIN_LOAD_SHARE = (
     3.0,  # a model's last warm copy is renewed until it has been idle for this number of keep-alives
     2.0,  # above this number of requests by other controllers the copy stays warm without renewal
-    3.0,  # loads allowed at once with thin traffic
+    3.0,  # at least this many loads are allowed at once with thin traffic
     2.0,  # parked requests per invoker at which half of them may load
     16,  # width of a load level with several controllers, within which they choose the same workers
     0.1,  # lower bound of the share of forwards without an entry that is assumed to load
@@ -97,8 +97,8 @@
 SHARED_ORDERS = 1024
 # In a large fleet, if no worker of a partial shared order fits: number of random other workers to try.
 RANDOM_PICKS = 16
-# In a large fleet the speeds of the kinds are updated only once in this number of pulses.
-UPDATE_SPEEDS_EVERY_PULSES = 5
+# In a large fleet the speeds of the kinds are updated only once in this number of periodic updates.
+SPEED_UPDATE_EVERY = 5
 
 
 class Controller:
@@ -115,14 +115,14 @@
         # Number of live controllers, and the divisor for this controller's share of what all of them share.
         self.live_controllers, self.sharers = deployment.controllers, float(deployment.controllers)
         self.now, self.next_timer_at = 0.0, math.inf
-        self.actions: list[Any] = [SetTimer(PULSE_INTERVAL_MS, PULSE_TIMER)]
+        self.actions: list[Any] = [SetTimer(UPDATE_INTERVAL_MS, UPDATE_TIMER)]
         if deployment.roster_asked:
             self.actions.append(Subscribe(True))
-        self.pulses = 0
+        self.update_count = 0
         # Workers in service, the number of them that are near, and own attempts in flight to all of them.
         self.workers = WorkersInService()
         self.near_workers = self.total_in_flight = 0
-        # Workers whose state changes with time; the pulse updates only these.
+        # Workers whose state changes with time; the periodic update handles only these.
         self.active: dict[Worker, None] = {}
         # Heap of due items by time: a request's deadline, the timeout of a load or of a readiness check, or a new
         # subscription to the list of workers (None).
@@ -670,7 +670,7 @@
     def _schedule_check(self, model_belief: ModelBelief, at: float):
         """Schedule the model's next check for when an entry is about to expire.
 
-        With thousands of models, checking all of them in each pulse would be too expensive.
+        With thousands of models, checking all of them in each periodic update would be too expensive.
         """
         if at < model_belief.check_at:
             model_belief.check_at = at
@@ -686,7 +686,7 @@
         for model_belief in sorted(due, key=lambda model_belief: model_belief.number):
             self._renew(model_belief)
             if model_belief in self.known_models:
-                times = [until - 3 * PULSE_INTERVAL_MS for until, _ in model_belief.warm.values()]
+                times = [until - 3 * UPDATE_INTERVAL_MS for until, _ in model_belief.warm.values()]
                 self._schedule_check(
                     model_belief,
                     max(
@@ -707,7 +707,11 @@
         kept_by_others = model_belief.recent_requests * (self.live_controllers - 1) > OTHERS_KEEP_ABOVE
         if model_belief.warm and model_belief.request_count > 1 and not idle and not kept_by_others:
             worker, (until, _) = max(model_belief.warm.items(), key=lambda item: item[1])
-            if until - self.now <= 3 * PULSE_INTERVAL_MS and not worker.suspect and worker not in model_belief.reported:
+            if (
+                until - self.now <= 3 * UPDATE_INTERVAL_MS
+                and not worker.suspect
+                and worker not in model_belief.reported
+            ):
                 self._send_order(model_belief, worker)
         elif idle and not model_belief.warm and not model_belief.lanes_in_use and not model_belief.loads:
             model_belief.model.belief = None
@@ -857,7 +861,7 @@
         model_belief.warm[worker] = self.now + self.deployment.keep_alive, copies
         model_belief.reported.pop(worker, None)
         worker.models_held[model_belief] = model_belief.holders[worker] = None
-        self._schedule_check(model_belief, self.now + self.deployment.keep_alive - 3 * PULSE_INTERVAL_MS)
+        self._schedule_check(model_belief, self.now + self.deployment.keep_alive - 3 * UPDATE_INTERVAL_MS)
 
     def _copies_reported(self, event: Told):
         """Add or remove an entry by a report from another controller, with a shorter lifetime than an own entry.
@@ -880,7 +884,7 @@
                 (until, max(1, event.copies)),
                 max(model_belief.lanes, event.lanes),
             )
-            self._schedule_check(model_belief, until - 3 * PULSE_INTERVAL_MS)
+            self._schedule_check(model_belief, until - 3 * UPDATE_INTERVAL_MS)
 
     def _sharing_changed(self, event: Sharing):
         self.live_controllers, self.sharers = max(1, event.live), max(1.0, event.sharers)
@@ -965,8 +969,8 @@
         wait += 2 * self._load_timeout(request.model.belief) if attempt.cold else 0.0
         return self.now - max(attempt.worker.last_received_at, attempt.at) > wait
 
-    def _pulse(self):
-        self.actions.append(SetTimer(PULSE_INTERVAL_MS, PULSE_TIMER))
+    def _periodic_update(self):
+        self.actions.append(SetTimer(UPDATE_INTERVAL_MS, UPDATE_TIMER))
         self._log_list_state()
         traffic_is_thin = self._is_traffic_thin()
         if len(self.workers) > MAX_WHOLE_ORDER:
@@ -977,7 +981,7 @@
                 # of thin traffic.
                 worker.suspect, worker.trial_interval = False, min(2 * worker.trial_interval, MAX_TRIAL_INTERVAL_MS)
                 self.suspects.pop(worker, None)
-            self.slow_start.update_average(worker, PULSE_INTERVAL_MS)
+            self.slow_start.update_average(worker, UPDATE_INTERVAL_MS)
             if worker.in_flight and any(self._is_overdue(forward) for forward in worker.in_flight):
                 # Accepts requests and answers none: hung, disconnected, or dead but still listed.
                 self._suspect(worker)
@@ -991,9 +995,9 @@
         for forward in at_suspects:
             if forward.inference.belief and not forward.belief.rescued and self._is_overdue(forward):
                 self._replace_overdue(forward.inference, forward)
-        self.pulses += 1
-        self.slow_start.time_passed(PULSE_INTERVAL_MS)
-        if len(self.workers) <= MAX_WHOLE_ORDER or self.pulses % UPDATE_SPEEDS_EVERY_PULSES == 0:
+        self.update_count += 1
+        self.slow_start.time_passed(UPDATE_INTERVAL_MS)
+        if len(self.workers) <= MAX_WHOLE_ORDER or self.update_count % SPEED_UPDATE_EVERY == 0:
             self._update_kind_speeds()
         self._renew_due()
         self._unpark(len(self.parked))
@@ -1024,8 +1028,8 @@
         heapq.heappush(self.due_items, (at, self.chance.reserve(), item))
 
     def _timer_due(self, event: TimerDue):
-        if event.token == PULSE_TIMER:
-            return self._pulse()
+        if event.token == UPDATE_TIMER:
+            return self._periodic_update()
         self.next_timer_at = math.inf
         while self.due_items and self.due_items[0][0] <= self.now:
             item = heapq.heappop(self.due_items)[2]
