--- a/sprucespool/interface.py
+++ b/sprucespool/interface.py
@@ -99,7 +99,10 @@
     over_share_value: float
     tick: float
     answer_slack: float
+    # After a drain is announced, nothing more may be sent to the invoker after this time.
     drain_grace: float
+    # Slow start: within `fall_window` ms an invoker that just started may be sent at most `fall_multiple` times a share
+    # of the work of a warm invoker. The share rises from `cold_share` to 1 over `warm_after` ms.
     cold_share: float
     warm_after: float
     fall_multiple: float
@@ -118,6 +121,7 @@
     keep_alive: float
     loads_on_miss: bool
     order_timeout: float
+    # Within `order_window` ms at most `order_floor` load orders plus `order_share` per request; no limit if it is 0.
     order_floor: float
     order_share: float
     order_window: float
