--- a/sprucespool/learning/__init__.py
+++ b/sprucespool/learning/__init__.py
@@ -1,26 +1,27 @@
-"""What a new controller is told by others, and how far it is believed. No I/O, no clock.
+"""How a starting controller learns loaded copies from other controllers, and how far it trusts them. No I/O, no clock.
 
-`knowledge`: claims and their merge. `codec`: pages of claims as bytes. `trust`: how long a claim is believed, by age,
-distance and its source's record. `newcomer`: whom to ask, what to pass on to the module, what proved wrong.
+`knowledge`: claims and their merge. `codec`: pages of claims as bytes. `trust`: for how long a claim is trusted, by
+its age, its hops and its source's record. `joining`: which sources to ask, which claims to report to the module, and
+which claims proved wrong.
 """
 
 from sprucespool.learning.codec import CodecError, decode, encode
-from sprucespool.learning.knowledge import Claim, Knowledge, Row
-from sprucespool.learning.newcomer import Ask, Newcomer, NewcomerLimits, Tell, Teller
-from sprucespool.learning.trust import SourceRecord, life_of
+from sprucespool.learning.joining import FetchPage, JoiningController, JoiningLimits, PageBuilder, ReportClaim
+from sprucespool.learning.knowledge import Claim, ClaimStore, Row
+from sprucespool.learning.trust import SourceRecord, claim_lifetime
 
 __all__ = [
-    "Ask",
     "Claim",
+    "ClaimStore",
     "CodecError",
-    "Knowledge",
-    "Newcomer",
-    "NewcomerLimits",
+    "FetchPage",
+    "JoiningController",
+    "JoiningLimits",
+    "PageBuilder",
+    "ReportClaim",
     "Row",
     "SourceRecord",
-    "Tell",
-    "Teller",
+    "claim_lifetime",
     "decode",
     "encode",
-    "life_of",
 ]
--- a/sprucespool/relay/lines.py
+++ b/sprucespool/relay/lines.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from sprucespool import interface as it
-from sprucespool.links import IllegalMove, LinkError
+from sprucespool.links import SendNotAllowed, LinkError
 from sprucespool.relay.unparsed import UnparsedBytes
 
 MAX_LINE_BYTES, MAX_BODY_BYTES = 4096, 262_144
@@ -125,7 +125,7 @@
 
     def _ask(self, kind: str, tag: str, line: _Line):
         if tag in self.used_tags:
-            raise IllegalMove(f"{tag} was already used on this connection")
+            raise SendNotAllowed(f"{tag} was already used on this connection")
         self.open[tag], self.used_tags[tag], self.unsent[tag] = kind, None, line
 
     def run(
--- a/sprucespool/transport/listener.py
+++ b/sprucespool/transport/listener.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from sprucespool.grpc.events import Began, Drained, Event, HalfClosed, Message, Ponged, Reset
-from sprucespool.grpc.streams import Ledger
+from sprucespool.grpc.events import CallStarted, Drained, Event, HalfClosed, Message, PingAcknowledged, Reset
+from sprucespool.grpc.streams import ReceiveBudget
 from sprucespool.grpc.server import ServerLink
 from sprucespool.grpc.status import Limits, Metadata, Status
 from sprucespool.transport.acceptor import Acceptor
@@ -55,7 +55,7 @@
         "waited",
     )
 
-    def __init__(self, wire: Wire, began: Began, now: float, peer: str, waited: float):
+    def __init__(self, wire: Wire, began: CallStarted, now: float, peer: str, waited: float):
         # How long (ms) the call may have waited for its connection to be accepted.
         self.waited = waited
         self.wire, self.stream, self.path = wire, began.stream, began.path
@@ -88,7 +88,7 @@
             self.wire.flush_soon()
 
     def mark(self) -> None:
-        self.link.mark(self.stream)
+        self.link.notify_when_drained(self.stream)
 
     def consumed(self, size: int) -> None:
         if not self.wire.lost:
@@ -176,7 +176,7 @@
         waited = self.waited + wire.last_received_at - wire.opened if self.waited else 0.0
         self.waited, self.received_any = 0.0, True
         for event in events:
-            if isinstance(event, Began):
+            if isinstance(event, CallStarted):
                 call = ServerCall(wire, event, wire.last_received_at, self.name, waited)
                 method = self.listener.methods.get(event.path)
                 if method is None:
@@ -190,7 +190,7 @@
                 else:
                     self.calls[event.stream] = call
                     method(call)
-            elif isinstance(event, Ponged):
+            elif isinstance(event, PingAcknowledged):
                 self.pinged_at = 0.0
             elif (existing := self.calls.get(getattr(event, "stream", 0))) is not None:
                 self._dispatch(existing, event)
@@ -254,7 +254,7 @@
     def __init__(self, methods: dict[str, Method], limits: Limits, server: Server):
         self.methods, self.limits, self.server = methods, limits, server
         self.loop = asyncio.get_running_loop()
-        self.ledger = Ledger(server.half_received)
+        self.ledger = ReceiveBudget(server.half_received)
         self.peers: dict[_Peer, None] = {}
         self.accepted = self.turned_away = 0
         self.end_counts: dict[str, int] = {}
--- a/tests/test_pool_crossings.py
+++ b/tests/test_pool_crossings.py
@@ -10,11 +10,11 @@
 
 import pytest
 from faulty_sockets import Faults, faulty_sockets
-from platform_scene import played, until
+from platform_scene import run_scene, until
 
 from sprucespool.grpc import Status
 from sprucespool.daemon.group import GroupCarrier
-from sprucespool.grpc.events import Began, HalfClosed, Message, Reset
+from sprucespool.grpc.events import CallStarted, HalfClosed, Message, Reset
 from sprucespool.grpc.client import ClientLink
 from sprucespool.grpc.server import ServerLink
 from sprucespool.grpc.status import Limits
@@ -68,7 +68,7 @@
 
     @property
     def begun(self):
-        return [event.path for event in self.events if isinstance(event, Began)]
+        return [event.path for event in self.events if isinstance(event, CallStarted)]
 
     def close(self):
         self.connection.close()
@@ -116,7 +116,7 @@
             assert peer.begun == ["/a/Warm", "/a/Large"]
             assert [type(event) for event in received] == ([] if how == "cancel" else [Unconnected])
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_a_call_behind_an_unread_socket_is_sent_when_the_peer_reads_with_the_remaining_time():
@@ -126,12 +126,12 @@
             pool.call("/a/Behind", {}, 2_000.0, b"small", lambda event: None)
             await asyncio.sleep(0.5)
             await peer.read(0.3)
-            [behind] = [event for event in peer.events if isinstance(event, Began) and event.path == "/a/Behind"]
+            [behind] = [event for event in peer.events if isinstance(event, CallStarted) and event.path == "/a/Behind"]
             assert behind.timeout <= 1_550.0
             whole = {event.stream for event in peer.events if isinstance(event, HalfClosed)}
             assert behind.stream in whole and len(whole) == 3
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_a_call_beside_an_unread_socket_uses_another_connection():
@@ -144,7 +144,7 @@
             await until(lambda: free.calls)
             assert [call.path for call in free.calls.values()] == ["/a/Beside"]
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_a_call_cancelled_before_its_headers_were_written_ends_the_connection_and_never_begins():
@@ -170,7 +170,7 @@
             pool.close()
             peer.close()
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_a_large_answer_that_the_system_accepts_in_parts_is_not_mistaken_for_a_peer_that_does_not_read():
@@ -204,7 +204,7 @@
         client.close()
         listener.close()
 
-    played(scene)
+    run_scene(scene)
 
 
 # A peer that goes away
@@ -221,7 +221,7 @@
             assert [(type(event), event.never_ran) for event in received] == [(Reset, True)]
             assert peer.begun == ["/a/Warm"]
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_new_calls_use_another_connection_while_the_old_one_still_answers():
@@ -237,7 +237,7 @@
             assert peer.begun == ["/a/Warm", "/a/Next"] and old[0] in pool.conns and old[0].open_calls == 1
             first.close()
 
-    played(scene)
+    run_scene(scene)
 
 
 def test_a_group_message_that_crosses_the_end_of_its_connection_is_sent_again_once():
@@ -262,4 +262,4 @@
         carrier.stop()
         listener.close()
 
-    played(scene)
+    run_scene(scene)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from platform_world import DEPLOYMENT, SETTINGS, asked, configuration
+from platform_world import DEPLOYMENT, SETTINGS, configuration, request_frame
 from sprucespool import interface as it
 from sprucespool.links import LinkError
 from sprucespool.relay import frames as fr
@@ -29,11 +29,11 @@
 @given(CUTS, st.binary(max_size=300))
 def test_requests_are_the_same_however_the_bytes_are_cut(cuts, body):
     data = (
-        asked(1, body=body)
+        request_frame(1, body=body)
         + (5).to_bytes(4, "big")
         + b"\x20"
         + bytes(4)
-        + asked(2, id="b" * 16)
+        + request_frame(2, id="b" * 16)
         + (5).to_bytes(4, "big")
         + b"\x12"
         + (2).to_bytes(4, "big")
@@ -86,18 +86,18 @@
 def test_invalid_fields_end_the_connection_with_an_error_on_their_stream(change):
     link = fr.FrameLink(fr.RequestReader(DEPLOYMENT))
     with pytest.raises(fr.RequestError, match=f"expected .*{list(change)[0]}"):
-        link.receive(asked(7, **change), 0.0)
+        link.receive(request_frame(7, **change), 0.0)
     out = link.outgoing()[0]
     assert out[4] == fr.ANSWER and int.from_bytes(out[5:9], "big") == 7 and out[9] == fr.FAILED
 
 
 def test_duplicate_numbers_too_many_open_requests_and_invalid_lengths_are_rejected():
     for data in (
-        asked(1) + asked(1, id="c" * 16),
+        request_frame(1) + request_frame(1, id="c" * 16),
         (4).to_bytes(4, "big"),
         (2**31).to_bytes(4, "big") + b"x",
-        b"".join(asked(n, id=f"{n:016x}") for n in range(1, 34)),
-        asked(1, body=bytes(16_385)),
+        b"".join(request_frame(n, id=f"{n:016x}") for n in range(1, 34)),
+        request_frame(1, body=bytes(16_385)),
         (5).to_bytes(4, "big") + b"\x12" + (9).to_bytes(4, "big"),
     ):
         with pytest.raises(fr.FrameError):
@@ -106,7 +106,7 @@
 
 def test_each_request_is_answered_once_and_shed_carries_the_retry_time():
     link = fr.FrameLink(fr.RequestReader(DEPLOYMENT))
-    link.receive(asked(1) + asked(2, id="d" * 16), 0.0)
+    link.receive(request_frame(1) + request_frame(2, id="d" * 16), 0.0)
     link.shed(1, 120.2)
     link.returned(2, b"\x00\xff")
     out = link.outgoing()[0]
@@ -114,7 +114,7 @@
         b"\x00\x00\x00\x12\x11\x00\x00\x00\x01\x0e\x01\x05after\x00\x03121"
         b"\x00\x00\x00\x09\x11\x00\x00\x00\x02\x00\x00\x00\xff"
     )
-    with pytest.raises(fr.IllegalMove):
+    with pytest.raises(fr.SendNotAllowed):
         link.failed(1)
 
 
@@ -174,7 +174,7 @@
     link = ln.InvokerLink(lambda: 0.0)
     run(link)
     assert link.give_up("9b1f03aa5c7e2d41") is False and link.outgoing()[0] == b""
-    with pytest.raises(ln.IllegalMove):
+    with pytest.raises(ln.SendNotAllowed):
         run(link)
     run(link, "e" * 16)
     link.outgoing()
