--- a/sprucespool/node/channel.py
+++ b/sprucespool/node/channel.py
@@ -9,7 +9,7 @@
 from sprucespool.gateway import messages as ms
 from sprucespool.transport.clock import AnchoredClock
 from sprucespool.node.logs import Log
-from sprucespool.relay.feed import EntryError, FeedLink, Roster, Told
+from sprucespool.relay.feed import EntryError, FeedLink, Roster, ChannelEvent
 from sprucespool.transport.wire import Wire
 
 # The channel sends a comment each second: a watch that receives nothing for longer may have stopped.
@@ -96,7 +96,7 @@
             return
         if not self.watches:
             self._connect()
-        elif all(now - wire.heard > SILENCE_TIMEOUT_MS for wire in self.watches):
+        elif all(now - wire.last_received_at > SILENCE_TIMEOUT_MS for wire in self.watches):
             self.log.info("channel silent", watches=len(self.watches))
             if len(self.watches) == MAX_WATCHES:
                 self._end_watches(self.watches[:1], "silent")
@@ -105,7 +105,7 @@
     def _end_replaced(self):
         """Ends the watches that are older than the newest one that has received data."""
         for index in range(len(self.watches) - 1, 0, -1):
-            if self.watches[index].heard > self.watches[index].opened:
+            if self.watches[index].last_received_at > self.watches[index].opened:
                 return self._end_watches(self.watches[:index], "replaced")
 
     def silence_ms(self) -> float:
@@ -145,9 +145,9 @@
         self.connect_task = None
         if wire.lost:
             return self._retry_later()
-        if wire.heard == wire.opened:
+        if wire.last_received_at == wire.opened:
             # Silence is measured from here, not from the start of the connection attempt.
-            wire.opened = wire.heard = self.now()
+            wire.opened = wire.last_received_at = self.now()
         self.watches.append(wire)
         self.connections += 1
 
@@ -171,20 +171,20 @@
             if not self.watches and not self.closed:
                 self._retry_later()
 
-    def _on_events(self, wire: Wire, events: list[Told]):
+    def _on_events(self, wire: Wire, events: list[ChannelEvent]):
         self.failures = 0
         for event in events:
             if wire.lost:
                 return
             try:
-                changes = self.roster.told(event, self.clock.unix_ms())
+                changes = self.roster.apply(event, self.clock.unix_ms())
             except EntryError as error:
                 self.log.error("channel", problem=error)
                 self.failed_reads += 1
                 if self.failed_reads < MAX_READS_PER_EVENT:
                     # The event may have been corrupted in transit: request it again.
                     return wire.end(f"event {event.number} can't be used", at_once=True)
-                changes = self.roster.pass_over(event, self.clock.unix_ms())
+                changes = self.roster.apply_usable(event, self.clock.unix_ms())
             if changes is None:
                 # A gap is never skipped: a missing event may say that an invoker drains.
                 return wire.end(f"event {event.number} after {self.roster.last}", at_once=True)
--- a/sprucespool/node/clients.py
+++ b/sprucespool/node/clients.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 from sprucespool.node.logs import Log
-from sprucespool.relay.frames import FrontLink, ReadyAsked, Request, TakenBack, Terms
+from sprucespool.relay.frames import FrameLink, ReadinessQuery, Request, Cancellation, RequestReader
 from sprucespool.transport.acceptor import Acceptor
 from sprucespool.transport.wire import Wire
 
@@ -46,7 +46,7 @@
         self.listener = listener
         # How long the connection may have waited to be accepted; None once something was read.
         self._waited: float | None = waited
-        self.link = FrontLink(listener.terms)
+        self.link = FrameLink(listener.terms)
         self.wire = Wire(self.link, self._on_events, self._on_lost, self._on_made, HIGH_WATER_BYTES)
         self.wire.linger, self.wire.on_closed = LINGER_MS, self._on_closed
         self.idle_since = self.wire.opened
@@ -63,11 +63,11 @@
             if isinstance(event, Request):
                 if not handler.request_received(self, event):
                     return self.close_with_error("request id is already in use", self.listener.error_delay)
-            elif isinstance(event, TakenBack):
+            elif isinstance(event, Cancellation):
                 handler.request_cancelled(self, event.stream)
-            elif isinstance(event, ReadyAsked):
+            elif isinstance(event, ReadinessQuery):
                 self.link.readiness(event.stream, handler.ready)
-        self.idle_since = wire.heard
+        self.idle_since = wire.last_received_at
         self._waited = None
 
     @property
@@ -94,7 +94,7 @@
 
     def close_with_error(self, why: str, delay: float = 0.0) -> None:
         """Send an error after `delay` ms and close the connection."""
-        self.link.last_word()
+        self.link.fail_open_requests()
         self.wire.delay = delay
         self.wire.end(why)
 
@@ -109,9 +109,9 @@
             return wire.end("client does not read", at_once=True)
         if not link.frames and now - wire.opened > FIRST_FRAME_TIMEOUT_MS:
             self.close_with_error("no complete frame received")
-        elif link.rest.half(now) > FRAME_TIMEOUT_MS:
+        elif link.unparsed.incomplete_for(now) > FRAME_TIMEOUT_MS:
             self.close_with_error("incomplete frame")
-        elif not self.calls and not link.rest and now - self.idle_since > IDLE_TIMEOUT_MS:
+        elif not self.calls and not link.unparsed and now - self.idle_since > IDLE_TIMEOUT_MS:
             wire.linger = 0.0
             wire.end("idle")
 
@@ -121,7 +121,7 @@
 
     def __init__(
         self,
-        terms: Terms,
+        terms: RequestReader,
         handler: RequestHandler,
         log: Log,
         sockets: int,
@@ -158,7 +158,7 @@
     def _on_accept_error(self, error: OSError):
         """There is no descriptor or memory for a new connection: an unused or lingering one is evicted."""
         self.log.info("connection not accepted yet", why=f"{type(error).__name__}: {error}")
-        unused = next((one for one in self.open if not one.calls and not one.link.rest), None)
+        unused = next((one for one in self.open if not one.calls and not one.link.unparsed), None)
         if error.errno == errno.EMFILE and (unused is not None or len(self.not_closed) > len(self.open)):
             self._evict()
 
@@ -200,21 +200,21 @@
         self.timer = self.loop.call_later(CHECK_INTERVAL_SECONDS, self._check)
         now, half_received_bytes = self.now(), 0
         for connection in list(self.open):
-            half_received_bytes += len(connection.link.rest)
+            half_received_bytes += len(connection.link.unparsed)
             connection.check(now)
-            if half_received_bytes > self.max_half_received_bytes and connection.link.rest:
+            if half_received_bytes > self.max_half_received_bytes and connection.link.unparsed:
                 connection.close_with_error("too many bytes of incomplete frames", self.error_delay)
 
     def announce_stop(self) -> None:
         """Ask clients to send no new requests. Requests that still arrive are answered, on new connections too."""
         for connection in list(self.open):
-            connection.link.no_more()
+            connection.link.announce_drain()
             connection.wire.flush_soon()
 
     @property
     def half_received(self) -> bool:
         """Whether any connection has an incomplete frame."""
-        return any(connection.link.rest for connection in self.open)
+        return any(connection.link.unparsed for connection in self.open)
 
     @property
     def unwritten(self) -> bool:
--- a/sprucespool/node/gateway_server.py
+++ b/sprucespool/node/gateway_server.py
@@ -20,10 +20,10 @@
 from sprucespool.node.reports import Reports
 from sprucespool.relay.configuration import Configuration
 from sprucespool.relay.feed import Roster
-from sprucespool.relay.frames import Request, Terms
+from sprucespool.relay.frames import Request, RequestReader
 from sprucespool.relay.lines import Answer, InvokerLink
 from sprucespool.transport.plan import PoolLimits
-from sprucespool.transport.turn import Turn
+from sprucespool.transport.input_batcher import InputBatcher
 
 CHECK_INTERVAL_SECONDS = 0.25
 # Share of the time after which invokers close idle connections. The controller closes them first, so that no forward
@@ -64,11 +64,16 @@
     def __init__(self, config: Configuration, log: Log, clock: AnchoredClock):
         self.config, self.log, self.clock = config, log, clock
         self.gateway = Gateway(config.deployment, config.seed, self._effect)
-        self.batch = Turn(self.gateway.take, self._after_batch)
+        self.batch = InputBatcher(self.gateway.take, self._after_batch)
         self.loop = self.batch.loop
         self.roster = Roster()
         self.listener = ClientListener(
-            Terms(config.deployment), self, log, config.sockets, config.memory_mb, self.batch.pace.unread
+            RequestReader(config.deployment),
+            self,
+            log,
+            config.sockets,
+            config.memory_mb,
+            self.batch.pace.possible_wait_ms,
         )
         self.calls: dict[str, _Call] = {}
         self.calls_by_request_id: dict[str, _Call] = {}
@@ -108,7 +113,7 @@
 
     def start(self) -> None:
         """Apply the roster of the configuration."""
-        for change in self.roster.known(self.config.cursor, self.config.commands, self.clock.unix_ms()):
+        for change in self.roster.restore(self.config.cursor, self.config.commands, self.clock.unix_ms()):
             self.apply_roster(change)
         self.discovery_received(None)
         self.ready = True
@@ -119,7 +124,7 @@
             if self.roster.places.get(name) != invoker.place:
                 del self.invokers[name]
                 self.leaving[invoker] = None
-        self.batch.tell(change)
+        self.batch.add(change)
         for row in change.rows:
             listed = self.invokers.get(row.invoker)
             if listed is None:
@@ -133,7 +138,7 @@
 
     def discovery_received(self, age: float | None) -> None:
         """The roster was up to date `age` ms ago; None: not yet since the start."""
-        self.batch.tell(ms.DiscoveryHeard(age))
+        self.batch.add(ms.DiscoveryHeard(age))
 
     def invoker(self, name: str) -> Invoker | None:
         """The connections to a listed invoker, created at the first use; None if it is not listed."""
@@ -145,8 +150,8 @@
                 connections=CONNECTIONS_PER_INVOKER,
                 connect_timeout=self.config.deployment.connect_timeout,
                 idle_close=IDLE_CLOSE_SHARE * self.config.idle_close,
-                first_backoff=INITIAL_BACKOFF_MS,
-                last_backoff=MAX_BACKOFF_MS,
+                initial_backoff=INITIAL_BACKOFF_MS,
+                max_backoff=MAX_BACKOFF_MS,
             )
             self.last_number += 1
             self.invokers[name] = Invoker(
@@ -155,7 +160,7 @@
                 self.config.streams,
                 self.config.seed + 7919 * self.last_number,
                 lambda event, why: self.log.debug(event, invoker=name, why=why),
-                lambda: self.batch.tell(ms.Disconnected(name)),
+                lambda: self.batch.add(ms.Disconnected(name)),
                 self.batch.pace,
             )
         return self.invokers[name]
@@ -173,7 +178,7 @@
             connection.link.shed(request.stream, 0.0)
             connection.answered(request.stream)
             return True
-        unread = self.batch.pace.unread_on(connection.waited)
+        unread = self.batch.pace.possible_wait_on_connection_ms(connection.waited)
         ttl = request.ttl - max(self.batch.lag, unread)
         if self.answers_due_at is not None:
             ttl = min(ttl, self.answers_due_at - now)
@@ -195,7 +200,7 @@
         connection.calls[request.stream] = call
         self.calls[message.call] = self.calls_by_request_id[request.id] = call
         self.held_bytes += len(request.body)
-        self.batch.tell(message)
+        self.batch.add(message)
         return True
 
     def request_cancelled(self, connection: ClientConnection, stream: int) -> None:
@@ -204,7 +209,7 @@
             # Withdrawn before the gateway gets it where possible: hundreds of requests cancelled at the same time
             # must not cost a decision each.
             if not self.batch.withdraw(call.message):
-                self.batch.tell(ms.Left(call.id))
+                self.batch.add(ms.Left(call.id))
             self._done(call, "left")
 
     def _done(self, call: _Call, end: str):
@@ -255,7 +260,7 @@
         call, invoker = self.calls.get(effect.call), self.invoker(effect.invoker)
         if call is None or invoker is None:
             # The client or the invoker left in this loop iteration.
-            return self.batch.tell(ms.ForwardEnded(effect.forward, it.Outcome.NOT_SENT.value))
+            return self.batch.add(ms.ForwardEnded(effect.forward, it.Outcome.NOT_SENT.value))
         forward = self.in_flight[effect.forward] = _Forward(call, effect.invoker)
         request = call.request
         call.forwards.append(effect.invoker)
@@ -284,7 +289,7 @@
                 it.Outcome.RETURNED,
                 it.Outcome.FULL,
             )
-            self.batch.tell(
+            self.batch.add(
                 ms.ForwardEnded(
                     number,
                     result.outcome.value,
@@ -295,7 +300,7 @@
                 )
             )
         else:
-            self.batch.tell(ms.ForwardEnded(number, result.value))
+            self.batch.add(ms.ForwardEnded(number, result.value))
         if self.log.debugging:
             outcome = result.outcome if isinstance(result, Answer) else result
             self.log.debug(
@@ -329,10 +334,10 @@
         tag = f"o{effect.order}"
 
         def on_end(result: Answer | it.Outcome):
-            standing = result.standing if isinstance(result, Answer) else 0
+            standing = result.loaded_copies if isinstance(result, Answer) else 0
             outcome = result.outcome if isinstance(result, Answer) else result
             self.log.debug("order", invoker=effect.invoker, model=effect.model, end=outcome.value, standing=standing)
-            self.batch.tell(ms.OrderEnded(effect.order, outcome.value, standing))
+            self.batch.add(ms.OrderEnded(effect.order, outcome.value, standing))
 
         # As for a forward: an order that was allowed now may not be allowed later.
         write_by = self.batch.now() + self.config.deployment.connect_timeout
@@ -348,7 +353,7 @@
 
         def on_end(result: Answer | it.Outcome):
             outcome = result.outcome if isinstance(result, Answer) else result
-            self.batch.tell(
+            self.batch.add(
                 ms.ProbeEnded(effect.probe, outcome.value, result.report if isinstance(result, Answer) else {})
             )
 
@@ -361,7 +366,7 @@
         if self.orders_and_probes.get(number) is request:
             del self.orders_and_probes[number]
             request.cancel()
-            self.batch.tell(ms.ProbeEnded(number, it.Outcome.TIMED_OUT.value))
+            self.batch.add(ms.ProbeEnded(number, it.Outcome.TIMED_OUT.value))
 
     def _unload(self, effect: ms.SendUnload):
         invoker = self.invoker(effect.invoker)
--- a/sprucespool/node/invokers.py
+++ b/sprucespool/node/invokers.py
@@ -84,9 +84,9 @@
 
     def note(self):
         slot = self.slot
-        slot.open_calls, slot.heard = len(self.requests), self.wire.heard
+        slot.open_calls, slot.last_received_at = len(self.requests), self.wire.last_received_at
         room = self.invoker.streams - len(self.requests)
-        slot.room = 0 if self.silent or len(self.link.used) >= MAX_TAGS_PER_CONNECTION else room
+        slot.room = 0 if self.silent or len(self.link.used_tags) >= MAX_TAGS_PER_CONNECTION else room
         if not self.requests:
             slot.idle_since = self.invoker.now()
 
@@ -96,7 +96,7 @@
         left = self.link.give_up(request.tag)
         if (
             left
-            and self.wire.heard < request.created_at
+            and self.wire.last_received_at < request.created_at
             and self.invoker.now() - request.created_at > SILENCE_TIMEOUT_MS
         ):
             self.silent = True
@@ -112,7 +112,7 @@
 
     def withdraw_unsent(self) -> list[InvokerRequest]:
         """Remove and return the requests of which nothing was handed to the socket."""
-        unsent = [self.requests.pop(tag) for tag in list(self.link.out)]
+        unsent = [self.requests.pop(tag) for tag in list(self.link.unsent)]
         for request in unsent:
             self.link.give_up(request.tag)
         if unsent:
@@ -126,21 +126,21 @@
             if request is not None:
                 request.end(answer)
         self.note()
-        if self.link.spoilt:
-            wire.end(str(self.link.spoilt), at_once=True)
+        if self.link.read_error:
+            wire.end(str(self.link.read_error), at_once=True)
         elif self.slot.room > 0:
             self.invoker.place_soon()
 
     def _on_lost(self, wire: Wire, why: str):
         self.invoker.drop(self)
-        if not self.invoker.conns and not wire.ended_here:
+        if not self.invoker.conns and not wire.ended_locally:
             self.invoker.on_disconnected()
         requests, self.requests = list(self.requests.values()), {}
         if requests:
             self.invoker.log_event("connection lost", f"{why}, {len(requests)} requests open on it")
         for request in requests:
             # A request that was never handed to the socket has certainly not run.
-            request.end(it.Outcome.RESET if self.link.left(request.tag) else it.Outcome.UNCONNECTED)
+            request.end(it.Outcome.RESET if self.link.was_sent(request.tag) else it.Outcome.UNCONNECTED)
 
 
 class Invoker(Opener[_Conn, InvokerRequest]):
@@ -166,10 +166,10 @@
     def connection(self, slot: Slot) -> _Conn:
         return _Conn(self, slot)
 
-    def unconnected(self, call: InvokerRequest, why: str) -> None:
+    def fail_unconnected(self, call: InvokerRequest, why: str) -> None:
         call.end(it.Outcome.UNCONNECTED)
 
-    def not_connected(self, why: str) -> None:
+    def on_connect_failed(self, why: str) -> None:
         self.log_event("not connected", why)
 
     def request(
@@ -230,7 +230,7 @@
 
     def _choose_slot(self, request: InvokerRequest) -> tuple[Slot | None, bool, str]:
         # A late answer to an earlier run of the same id would end this run, so this one uses another connection.
-        excluded = [conn for conn in self.conns.values() if request.tag in conn.link.used]
+        excluded = [conn for conn in self.conns.values() if request.tag in conn.link.used_tags]
         for conn in excluded:
             conn.slot.room = 0
         found = self.plan.place(self.now(), 0)
@@ -242,11 +242,11 @@
         """Close connections that are stalled, no longer usable or idle. Called periodically."""
         now = self.now()
         for conn in list(self.conns.values()):
-            if conn.link.rest.half(now) > INCOMPLETE_ANSWER_TIMEOUT_MS:
+            if conn.link.unparsed.incomplete_for(now) > INCOMPLETE_ANSWER_TIMEOUT_MS:
                 conn.wire.end("answer stopped half-way", at_once=True)
             elif conn.slot.room <= 0 and not conn.requests:
                 conn.wire.end("no longer usable", at_once=conn.silent)
-        for slot in self.plan.look(now)[0]:
+        for slot in self.plan.check(now)[0]:
             self.conns[slot].wire.end("idle")
 
     def close_idle(self) -> None:
--- a/sprucespool/node/serve.py
+++ b/sprucespool/node/serve.py
@@ -20,7 +20,7 @@
 from sprucespool.node.logs import Log
 from sprucespool.relay.configuration import Configuration, ConfigurationError, read
 from sprucespool.relay.feed import EntryError
-from sprucespool.transport.errors import PASSING_ERRORS, PASSING_PAUSE
+from sprucespool.transport.errors import TRANSIENT_ERRORS, TRANSIENT_RETRY_SECONDS
 
 # Clients go on to send requests for this long after SIGTERM.
 STILL_ACCEPTING_MS = 700.0
@@ -136,7 +136,7 @@
         self._give_up_at = time.monotonic() + START_TIMEOUT_SECONDS
 
     def should_retry(self, error: OSError) -> bool:
-        transient = error.errno in PASSING_ERRORS or error.errno == errno.EADDRINUSE
+        transient = error.errno in TRANSIENT_ERRORS or error.errno == errno.EADDRINUSE
         return transient and time.monotonic() <= self._give_up_at
 
 
@@ -149,7 +149,7 @@
         except OSError as error:
             if not retries.should_retry(error) or signal.SIGTERM in early_signals:
                 raise
-        await asyncio.sleep(PASSING_PAUSE)
+        await asyncio.sleep(TRANSIENT_RETRY_SECONDS)
 
 
 async def _serve(path: str, config: Configuration, log: Log, early_signals: list[int]) -> int:
@@ -210,7 +210,7 @@
         except OSError as error:
             if not retries.should_retry(error):
                 raise
-        time.sleep(PASSING_PAUSE)
+        time.sleep(TRANSIENT_RETRY_SECONDS)
 
 
 def serve(early_signals: list[int]) -> int:
--- a/tests/test_discovery_outage.py
+++ b/tests/test_discovery_outage.py
@@ -295,8 +295,8 @@
     async def scene():
         async with Scene(InvokerStandIn(hit)) as world:
             inputs_taken = []
-            take = world.node.server.batch.take
-            world.node.server.batch.take = lambda now, inputs: (inputs_taken.extend(inputs), take(now, inputs))
+            take = world.node.server.batch.on_batch
+            world.node.server.batch.on_batch = lambda now, inputs: (inputs_taken.extend(inputs), take(now, inputs))
             await world.warmed()
             world.node.server.invokers["s-0"].close_idle()
             await asyncio.sleep(0.1)
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -16,7 +16,7 @@
 from sprucespool import interface as it
 from sprucespool.node.gateway_server import GatewayServer
 from sprucespool.relay import lines
-from sprucespool.relay.frames import FrontLink
+from sprucespool.relay.frames import FrameLink
 
 pytestmark = pytest.mark.sockets
 
@@ -74,11 +74,11 @@
 
 
 def test_a_controller_that_loses_an_answer_is_detected(tmp_path, monkeypatch):
-    original = FrontLink.returned
+    original = FrameLink.returned
 
     def losing_answers(link, stream, body):
         if stream % 10 != 7:
             original(link, stream, body)
 
-    monkeypatch.setattr(FrontLink, "returned", losing_answers)
+    monkeypatch.setattr(FrameLink, "returned", losing_answers)
     assert "1" in broken_rules(tmp_path, [])
