--- a/sprucespool/node/clients.py
+++ b/sprucespool/node/clients.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 from sprucespool.node.logs import Log
-from sprucespool.relay.frames import FrameLink, ReadinessQuery, Request, Cancellation, RequestReader
+from sprucespool.relay.frames import Cancellation, FrameLink, ReadinessQuery, Request, RequestReader
 from sprucespool.transport.acceptor import Acceptor
 from sprucespool.transport.wire import Wire
 
@@ -46,7 +46,7 @@
         self.listener = listener
         # How long the connection may have waited to be accepted; None once something was read.
         self._waited: float | None = waited
-        self.link = FrameLink(listener.terms)
+        self.link = FrameLink(listener.request_reader)
         self.wire = Wire(self.link, self._on_events, self._on_lost, self._on_made, HIGH_WATER_BYTES)
         self.wire.linger, self.wire.on_closed = LINGER_MS, self._on_closed
         self.idle_since = self.wire.opened
@@ -121,14 +121,14 @@
 
     def __init__(
         self,
-        terms: RequestReader,
+        request_reader: RequestReader,
         handler: RequestHandler,
         log: Log,
         sockets: int,
         memory_mb: float,
-        unread: Callable[[], float],
+        possible_wait_ms: Callable[[], float],
     ):
-        self.terms, self.handler, self.log = terms, handler, log
+        self.request_reader, self.handler, self.log = request_reader, handler, log
         self.loop = asyncio.get_running_loop()
         # Both in order of arrival: the connections that are read, and those that hold a file descriptor.
         self.open: dict[ClientConnection, None] = {}
@@ -138,7 +138,7 @@
         self.max_half_received_bytes = int(HALF_RECEIVED_SHARE * memory_mb * 2**20)
         self.accepted = self.evicted = self.cut = 0
         self.acceptor = Acceptor(
-            lambda waited: ClientConnection(self, waited).wire, self.backlog, self._on_accept_error, unread
+            lambda waited: ClientConnection(self, waited).wire, self.backlog, self._on_accept_error, possible_wait_ms
         )
         self.timer: asyncio.TimerHandle | None = None
 
--- a/sprucespool/node/gateway_server.py
+++ b/sprucespool/node/gateway_server.py
@@ -178,8 +178,8 @@
             connection.link.shed(request.stream, 0.0)
             connection.answered(request.stream)
             return True
-        unread = self.batch.pace.possible_wait_on_connection_ms(connection.waited)
-        ttl = request.ttl - max(self.batch.lag, unread)
+        possible_wait_ms = self.batch.pace.possible_wait_on_connection_ms(connection.waited)
+        ttl = request.ttl - max(self.batch.lag, possible_wait_ms)
         if self.answers_due_at is not None:
             ttl = min(ttl, self.answers_due_at - now)
         self.last_number += 1
@@ -194,7 +194,7 @@
             request.lanes,
             request.load_time,
             request.repeat,
-            waited=unread,
+            waited=possible_wait_ms,
         )
         call = _Call(message.call, connection, request, message, now, now + ttl)
         connection.calls[request.stream] = call
