--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -50,7 +50,7 @@
     weighing = Virtual(size, seed=seed, settled=True)
     weighing.load = lambda one: tuple(weighing.chance.uniform(1, 100) for _ in range(6))
     weighing.run(60_000)
-    held = [sum(bool(found.row.figures) for found in one.book.present.values()) for one in weighing.members.values()]
+    held = [sum(bool(found.row.figures) for found in one.table.present.values()) for one in weighing.members.values()]
     told: list[float] = []
     gone, at = f"c{size - 1}", virtual.now
     virtual.watch = lambda member, event: told.append(virtual.now - at) if event.kind == "died" else None
--- a/sprucespool/daemon/failover.py
+++ b/sprucespool/daemon/failover.py
@@ -203,8 +203,8 @@
     def _measured(self, now: float) -> dict[str, float]:
         """Ways to be told now, if it is time; a voter brings its costs up to date by what it was told."""
         member = self.group.group
-        while member is not None and member.took:
-            self.ways.answered(*member.took.popleft())
+        while member is not None and member.round_trips:
+            self.ways.answered(*member.round_trips.popleft())
         if now < self.ways_at:
             return {}
         self.ways_at = now + WAYS_EVERY
--- a/sprucespool/daemon/fleet.py
+++ b/sprucespool/daemon/fleet.py
@@ -19,7 +19,7 @@
 from sprucespool.gateway import messages as ms
 from sprucespool.grpc.status import Metadata, Status
 from sprucespool.membership import Event
-from sprucespool.membership.messages import MOVES
+from sprucespool.membership.messages import PRESENCE_KINDS
 from sprucespool.settings.controller import ControllerPlan, FleetView, GroupPlan, address
 from sprucespool.transport.clock import AnchoredClock
 from sprucespool.transport.listener import Method, ServerCall, unary
@@ -195,7 +195,7 @@
     # The group
 
     def _member(self, event: Event):
-        if event.kind in MOVES:
+        if event.kind in PRESENCE_KINDS:
             self._peers()
 
     def _peers(self):
--- a/sprucespool/daemon/group.py
+++ b/sprucespool/daemon/group.py
@@ -16,8 +16,8 @@
 from sprucespool.gateway import messages as ms
 from sprucespool.grpc.events import Reset
 from sprucespool.grpc.status import Limits, Metadata, Status
-from sprucespool.membership import About, Codec, Event, Group, GroupLimits, MessageError, Phase, Row, Say, State
-from sprucespool.membership.codec import MOST_BYTES
+from sprucespool.membership import About, Codec, Event, Group, GroupLimits, MessageError, Phase, Row, Outgoing, State
+from sprucespool.membership.codec import MAX_BYTES
 from sprucespool.settings.controller import ControllerPlan, GroupPlan, loopback
 from sprucespool.transport.listener import Method, ServerCall, unary
 from sprucespool.transport.plan import PoolLimits
@@ -138,13 +138,13 @@
         self._do(self.group.tick(self.now()))
         if self.loop.time() - self.looked > 1.0:
             self.looked = self.loop.time()
-            self.group.weigh(self.now(), self.weigh())
+            self.group.update_figures(self.now(), self.weigh())
             for where, pool in list(self.pools.items()):
                 pool.look()
                 if pool.quiet:
                     del self.pools[where]
 
-    def _do(self, said: list[Say]):
+    def _do(self, said: list[Outgoing]):
         """After each step of the member: send, tell what changed, come back when something is due."""
         group = self.group
         assert group is not None
@@ -183,7 +183,7 @@
         for hear in self.on_event:
             hear(event)
 
-    def _send(self, say: Say):
+    def _send(self, say: Outgoing):
         self._post(
             say.to,
             platform.MemberMessage(
@@ -236,7 +236,7 @@
             self.pools[where] = Pool(
                 host,
                 port,
-                Limits(message=MOST_BYTES + MOST_NOTE + 4096, streams=1000),
+                Limits(message=MAX_BYTES + MOST_NOTE + 4096, streams=1000),
                 limits,
                 self.plan.seed * 31 + len(self.pools),
             )
@@ -268,7 +268,7 @@
         call.send(platform.MemberHeard().SerializeToString())
         call.finish(Status.OK)
         if self.group is not None and message is not None:
-            self._do(self.group.heard(self.now(), message))
+            self._do(self.group.receive(self.now(), message))
 
     def _refuse(self, call: ServerCall, problem: Exception) -> str:
         why = str(problem)[:200]
@@ -288,9 +288,11 @@
     def view(self) -> View:
         group, now = self.group, self.now()
         assert group is not None
-        book = group.book
-        members = [self._line(group.me, 0.0)] + [self._line(one.row, now - one.known) for one in book.present.values()]
-        gone = [self._line(one.row, now - one.since) for one in book.gone.values()]
+        book = group.table
+        members = [self._line(group.me, 0.0)] + [
+            self._line(one.row, now - one.last_known_at) for one in book.present.values()
+        ]
+        gone = [self._line(one.row, now - one.state_since) for one in book.gone.values()]
         tally = group.tally
         members.sort(key=lambda line: (line.name, line.address))
         return View(
@@ -301,7 +303,7 @@
             book.epoch,
             group.isolated,
             len(group.live()),
-            group.part(),
+            group.share(),
             list(self.figures),
             members,
             gone,
@@ -341,7 +343,7 @@
 
     def tell_about(self, **over: Any) -> None:
         if self.group is not None:
-            self._do(self.group.tell(self.now(), replace(self.group.about, **over)))
+            self._do(self.group.update_about(self.now(), replace(self.group.about, **over)))
 
     def draining(self) -> None:
         """No new calls are taken; those begun go on."""
@@ -353,7 +355,7 @@
             return
         self.tell_about(phase=Phase.LEAVING)
         end = self.loop.time() + LONGEST_LEAVE
-        while not self.group.part_is_lent and self.loop.time() < end:
+        while not self.group.share_is_lent and self.loop.time() < end:
             await asyncio.sleep(LEAVE_LOOK)
         self._do(self.group.leave(self.now()))
         await asyncio.sleep(LAST_WORDS)
--- a/sprucespool/emulator/fleet.py
+++ b/sprucespool/emulator/fleet.py
@@ -20,7 +20,7 @@
 from sprucespool.judge import group as group_seen
 from sprucespool.judge.group import Began, Ended, Faulted
 from sprucespool.membership import Group, GroupLimits, Message, Row, State
-from sprucespool.membership.messages import MOVES
+from sprucespool.membership.messages import PRESENCE_KINDS
 
 # A roster connection that was cut is known to be by then; one that broke at once. Both are tried again.
 CUT_KNOWN, AGAIN = 4_000.0, 400.0
@@ -169,7 +169,7 @@
         changed = False
         for event in one.take_events():
             self.watch(one, event)
-            changed = changed or event.kind in MOVES
+            changed = changed or event.kind in PRESENCE_KINDS
         if changed:
             self._peers(one)
 
@@ -483,10 +483,10 @@
         for name, one in self.members.items():
             if name in self.still:
                 continue
-            rows = [self._seen_row(held.row) for held in one.book.held.values()]
+            rows = [self._seen_row(held.row) for held in one.table.records.values()]
             rows.append(group_seen.SeenRow(name, one.start, "alive", one.me.incarnation, one.me.version))
             self.group_noted.append(
-                group_seen.SeenView(self.now, name, one.start, f"{one.digest:016x}", one.part(), rows)
+                group_seen.SeenView(self.now, name, one.start, f"{one.digest:016x}", one.share(), rows)
             )
 
     def _seen_row(self, row: Row) -> group_seen.SeenRow:
--- a/sprucespool/emulator/group.py
+++ b/sprucespool/emulator/group.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from sprucespool.faults import Links, LinkState
-from sprucespool.membership import About, Codec, Event, Group, GroupLimits, Message, Say
+from sprucespool.membership import About, Codec, Event, Group, GroupLimits, Message, Outgoing
 
 LOOK_EVERY = 100.0
 # Events at one instant; a whole fleet that starts at once has some thousands.
@@ -122,7 +122,7 @@
         for one in self.members.values():
             for row in rows:
                 if row.seat != one.me.seat:
-                    one.book.learn(0.0, row)
+                    one.table.learn(0.0, row)
             one.take_events()
             one._joins = 4
 
@@ -143,7 +143,7 @@
         if one.name in self.still:
             return self._later(50.0, lambda: self._tick(one))
         if self.load is not None:
-            one.weigh(self._time(one), self.load(one))
+            one.update_figures(self._time(one), self.load(one))
         self._send(one, one.tick(self._time(one)))
         self._drain(one)
         self._arm(one)
@@ -164,7 +164,7 @@
         for event in one.take_events():
             self.watch(one, event)
 
-    def _send(self, one: Group, said: list[Say]):
+    def _send(self, one: Group, said: list[Outgoing]):
         for say in said:
             self.said += 1
             if self.said % 50 == 0:
@@ -177,7 +177,7 @@
         return message
 
     def _delivered(self, one: Group, message: Any):
-        self._send(one, one.heard(self._time(one), message))
+        self._send(one, one.receive(self._time(one), message))
 
     def post(self, source: str, to: str, message: Any) -> None:
         """Also for what no member says: replayed messages and made-up ones."""
@@ -232,4 +232,4 @@
 
     def tell(self, name: str, **over) -> None:
         one = self.members[name]
-        self._send(one, one.tell(self._time(one), replace(one.about, **over)))
+        self._send(one, one.update_about(self._time(one), replace(one.about, **over)))
--- a/sprucespool/emulator/models.py
+++ b/sprucespool/emulator/models.py
@@ -50,7 +50,7 @@
             yield "say", name
             if len(self.air) < self.most_told:
                 yield "tell", name
-            for seat, held in one.book.present.items():
+            for seat, held in one.table.present.items():
                 yield ("accuse" if held.row.state is State.ALIVE else "give up"), name, seat[0]
             for n in range(len(self.air)):
                 yield "hear", name, n
@@ -65,23 +65,23 @@
             one.leave(0.0)
             self.air.append((one.me,))
         elif what == "say":
-            one.tell(0.0, replace(one.about, phase=Phase((one.about.phase + 1) % 3)))
+            one.update_about(0.0, replace(one.about, phase=Phase((one.about.phase + 1) % 3)))
         elif what == "tell":
-            self.air.append((one.me, *(held.row for held in one.book.held.values())))
+            self.air.append((one.me, *(held.row for held in one.table.records.values())))
         elif what == "hear":
             for row in self.air[move[2]]:
                 one._learn(0.0, row, "m?")
         else:
             seat = (move[2], f"at-{move[2]}")
             if what == "accuse":
-                one._learn(0.0, one.book.suspected(seat, name), "")
+                one._learn(0.0, one.table.suspected(seat, name), "")
             else:
-                one._give_up(0.0, seat)
+                one._declare_dead(0.0, seat)
         self._watch()
 
     def _watch(self):
         for name, one in self.members.items():
-            for row in (one.me, *(held.row for held in one.book.held.values())):
+            for row in (one.me, *(held.row for held in one.table.records.values())):
                 key = (f"{name} {one.start}", row.name, row.start)
                 before = self.best.get(key, (0, 0))
                 if row.incarnation < before[0] or row.version < before[1]:
@@ -97,11 +97,11 @@
 
     def key(self) -> Hashable:
         def told(row: Row) -> tuple:
-            return row.name, row.start, row.life, row.version, row.accusers
+            return row.name, row.start, row.liveness, row.version, row.accusers
 
         return (
             tuple(
-                (name, one.left, told(one.me), tuple(sorted(told(held.row) for held in one.book.held.values())))
+                (name, one.left, told(one.me), tuple(sorted(told(held.row) for held in one.table.records.values())))
                 for name, one in self.members.items()
             ),
             tuple(sorted(tuple(map(told, rows)) for rows in self.air)),
@@ -119,13 +119,13 @@
             for one in live:
                 for other in live:
                     if one is not other:
-                        for row in (other.me, *(held.row for held in list(other.book.held.values()))):
+                        for row in (other.me, *(held.row for held in list(other.table.records.values()))):
                             one._learn(0.0, row, other.name)
                 # Doubts end in time; of who runs they are refuted before.
-                for seat, held in list(one.book.present.items()):
+                for seat, held in list(one.table.present.items()):
                     owner = self.members[seat[0]]
                     if held.row.state is State.SUSPECT and (owner.left or owner.start != held.row.start):
-                        one._give_up(0.0, seat)
+                        one._declare_dead(0.0, seat)
             if self.key() == before:
                 break
         else:
@@ -133,7 +133,7 @@
         self._watch()
         for one in live:
             for other in live:
-                if one is not other and not (found := one.book.held[other.me.seat].row).present:
+                if one is not other and not (found := one.table.records[other.me.seat].row).present:
                     return f"{one.name} holds {other.name} {found.state.name.lower()}, which runs"
         if len({one.digest for one in live}) > 1:
             return "members that told each other all see different things"
@@ -174,7 +174,7 @@
                         lend[1] for lend in self.air if (lend[0] == "lend" and lend[4] == its.start)
                     }:
                         yield "ask", number, other
-                    if other in one.wanted(set(self.run)):
+                    if other in one.unconfirmed_numbers(set(self.run)):
                         yield "freed?", number, other
         for message in self.air:
             if self.run[message[3]].start == message[4]:
@@ -208,16 +208,16 @@
         kind, number, start, to, _, asks, figure = message
         one = self.run[to]
         if kind == "lend":
-            part = one.lend(self.of)
+            part = one.grant_loan(self.of)
             if part:
                 self._post("lent", one, number, start, asks, part)
         elif kind == "lent":
-            one.lent(self.now, asks, number, start, figure)
+            one.accept_loan(self.now, asks, number, start, figure)
         elif kind == "freed?":
-            one.free(number, start)
+            one.release(number, start)
             self._post("freed", one, number, start, 0)
         else:
-            one.told_free(self.now, number)
+            one.confirm_freed(self.now, number)
 
     def key(self) -> Hashable:
         return (
@@ -228,12 +228,12 @@
                     one.start,
                     one.closed,
                     one.ready,
-                    one.begun,
+                    one.started_at,
                     one.granted,
                     tuple(sorted(one.freed)),
-                    tuple(sorted(one.newest.items())),
-                    tuple(sorted(one.asked)),
-                    tuple(sorted((m, loan.part, loan.until) for m, loan in one.borrowed.items())),
+                    tuple(sorted(one.newest_starts.items())),
+                    tuple(sorted(one.requested)),
+                    tuple(sorted((m, loan.share, loan.expires_at) for m, loan in one.borrowed.items())),
                 )
                 for n, one in self.run.items()
             ),
@@ -241,7 +241,7 @@
         )
 
     def wrong(self) -> str:
-        parts = {number: one.part(self.now) for number, one in self.run.items()}
+        parts = {number: one.share(self.now) for number, one in self.run.items()}
         return f"the parts come to {sum(parts.values()):.3f}: {parts}" if sum(parts.values()) > 1 + 1e-9 else ""
 
 
--- a/sprucespool/membership/__init__.py
+++ b/sprucespool/membership/__init__.py
@@ -5,7 +5,7 @@
 
 from sprucespool.membership.codec import Codec, MessageError
 from sprucespool.membership.group import Group, GroupLimits
-from sprucespool.membership.messages import Event, Message, Say
+from sprucespool.membership.messages import Event, Message, Outgoing
 from sprucespool.membership.rows import About, Phase, Row, Seat, State, merge
 
 __all__ = [
@@ -16,9 +16,9 @@
     "GroupLimits",
     "Message",
     "MessageError",
+    "Outgoing",
     "Phase",
     "Row",
-    "Say",
     "Seat",
     "State",
     "merge",
--- a/sprucespool/membership/conduct.py
+++ b/sprucespool/membership/accuser_trust.py
@@ -12,10 +12,10 @@
 
 
 @dataclass(slots=True)
-class Conduct:
-    victims: int = 3
-    window: float = 30_000.0
-    pause: float = 60_000.0
+class AccuserTrust:
+    distrust_after: int = 3
+    window_ms: float = 30_000.0
+    distrust_ms: float = 60_000.0
     _wrong: dict[str, dict[Seat, float]] = field(default_factory=dict)
     _until: dict[str, float] = field(default_factory=dict)
 
@@ -26,15 +26,15 @@
         wrong = self._wrong.setdefault(accuser, {})
         wrong[seat] = now
         for other, at in list(wrong.items()):
-            if now - at > self.window:
+            if now - at > self.window_ms:
                 del wrong[other]
         if len(self._wrong) > 256:
             # Names come from messages: invented ones must not fill the memory.
             self._wrong.pop(next(iter(self._wrong)))
-        if len(wrong) < self.victims:
+        if len(wrong) < self.distrust_after:
             return False
         self._wrong.pop(accuser, None)
-        self._until[accuser] = now + self.pause
+        self._until[accuser] = now + self.distrust_ms
         if len(self._until) > 256:
             self._until.pop(next(iter(self._until)))
         return True
--- a/sprucespool/membership/codec.py
+++ b/sprucespool/membership/codec.py
@@ -15,9 +15,9 @@
 import msgspec
 
 from sprucespool.membership.messages import KINDS, Message
-from sprucespool.membership.rows import MOST_ACCUSERS, MOST_FIGURES, About, Phase, Row, State
+from sprucespool.membership.rows import MAX_ACCUSERS, MAX_FIGURES, About, Phase, Row, State
 
-MOST_BYTES, MOST_ROWS, LONGEST_NAME, MOST_SEATS = 65_536, 512, 128, 512
+MAX_BYTES, MAX_ROWS, LONGEST_NAME, MOST_SEATS = 65_536, 512, 128, 512
 LONGEST_TEXT, SEAL = 64, 16
 _LARGEST = 2**62
 
@@ -63,7 +63,7 @@
         int(about.phase),
         row.seal,
         list(row.accusers),
-        row.beat,
+        row.figures_version,
         list(row.figures),
     )
 
@@ -84,27 +84,37 @@
         phase,
         seal,
         accusers,
-        beat,
+        figures_version,
         figures,
     ) = told
     if (
         not 0 < len(name) <= LONGEST_NAME
         or not 0 < len(address) <= LONGEST_NAME
-        or min(start, incarnation, version, number, beat) < 0
-        or max(start, incarnation, version, number, of, beat) > _LARGEST
+        or min(start, incarnation, version, number, figures_version) < 0
+        or max(start, incarnation, version, number, of, figures_version) > _LARGEST
         or of < 1
         or max(len(region), len(zone), len(build)) > LONGEST_TEXT
-        or len(figures) > MOST_FIGURES
+        or len(figures) > MAX_FIGURES
         or not all(map(math.isfinite, figures))
         or len(seal) > 32
-        or len(accusers) > MOST_ACCUSERS
+        or len(accusers) > MAX_ACCUSERS
         or any(len(accuser) > LONGEST_NAME for accuser in accusers)
     ):
         raise MessageError("a name, figure or text of a row out of bounds")
     try:
         about = About(region, zone, number, of, build, Phase(phase))
         return Row(
-            name, address, start, incarnation, State(state), version, about, seal, tuple(accusers), beat, tuple(figures)
+            name,
+            address,
+            start,
+            incarnation,
+            State(state),
+            version,
+            about,
+            seal,
+            tuple(accusers),
+            figures_version,
+            tuple(figures),
         )
     except ValueError as problem:
         raise MessageError(str(problem)) from None
@@ -138,8 +148,8 @@
 
     def decode(self, data: bytes) -> Message:
         """Raises MessageError."""
-        if not SEAL < len(data) <= MOST_BYTES:
-            raise MessageError(f"expected {SEAL + 1} to {MOST_BYTES} bytes, got {len(data)}")
+        if not SEAL < len(data) <= MAX_BYTES:
+            raise MessageError(f"expected {SEAL + 1} to {MAX_BYTES} bytes, got {len(data)}")
         if not hmac.compare_digest(self._sealed(data[SEAL:]), data[:SEAL]):
             raise MessageError("not of this group: another name or mark, or changed on the way")
         try:
@@ -148,7 +158,7 @@
             raise MessageError(f"expected a message: {problem}") from None
         if (
             not 0 <= found.kind < len(KINDS)
-            or len(found.rows) > MOST_ROWS
+            or len(found.rows) > MAX_ROWS
             or not 0 <= found.number < _LARGEST
             or not 0 <= found.to_start <= _LARGEST
             or len(found.marks) > 64
--- a/sprucespool/membership/book.py
+++ b/sprucespool/membership/member_table.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field, replace
 
 from sprucespool.membership.messages import Event
-from sprucespool.membership.rows import MOST_ACCUSERS, Row, Seat, State, mark, merge, seen_mark, sealed
+from sprucespool.membership.rows import MAX_ACCUSERS, Row, Seat, State, mark, merge, seen_mark, sealed
 
 BUCKETS = 32
 # An owner raises its incarnation by one each time it is accused: honest news never leaps far ahead of what is held.
@@ -18,29 +18,29 @@
 
 
 @dataclass(slots=True, eq=False)
-class Held:
+class MemberRecord:
     row: Row
     mark: int
     # When its state last changed here, and the last word of it (its own, or an answer to a check).
-    since: float
-    heard: float
-    known: float
+    state_since: float
+    last_received_at: float
+    last_known_at: float
 
 
 @dataclass(slots=True)
-class Book:
+class MemberTable:
     """`me` is not among `held`."""
 
     me: Row
     most: int = 4_000
     most_gone: int = 1_024
     forget_after: float = 600_000.0
-    held: dict[Seat, Held] = field(default_factory=dict)
-    present: dict[Seat, Held] = field(default_factory=dict)
+    records: dict[Seat, MemberRecord] = field(default_factory=dict)
+    present: dict[Seat, MemberRecord] = field(default_factory=dict)
     # In the order of their going, the oldest first.
-    gone: dict[Seat, Held] = field(default_factory=dict)
+    gone: dict[Seat, MemberRecord] = field(default_factory=dict)
     marks: list[int] = field(default_factory=lambda: [0] * BUCKETS)
-    by_bucket: list[dict[Seat, Held]] = field(default_factory=lambda: [{} for _ in range(BUCKETS)])
+    by_bucket: list[dict[Seat, MemberRecord]] = field(default_factory=lambda: [{} for _ in range(BUCKETS)])
     digest: int = 0
     epoch: int = 0
     events: list[Event] = field(default_factory=list)
@@ -66,11 +66,11 @@
 
     def refusal(self, row: Row) -> str:
         """Why a row can't be what its owner or an honest teller says; empty where it can."""
-        found = self.held.get(row.seat)
+        found = self.records.get(row.seat)
         same = found is not None and found.row.start == row.start
         if row.version > FARTHEST_VERSION + (found.row.version if found is not None and same else 0):
             return "a version that leaps"
-        if row.beat > FARTHEST_VERSION + (found.row.beat if found is not None and same else 0):
+        if row.figures_version > FARTHEST_VERSION + (found.row.figures_version if found is not None and same else 0):
             return "a beat that leaps"
         if row.state is State.ALIVE:
             # A leap does no harm here: accusations go by what is held. Only what could never be is refused.
@@ -85,7 +85,7 @@
 
     def learn(self, now: float, row: Row) -> tuple[Row | None, Row | None]:
         """Join a row in: (what was held, what is held now); the same object twice where nothing changed."""
-        found = self.held.get(row.seat)
+        found = self.records.get(row.seat)
         if found is None:
             if row.present and len(self.present) >= self.most:
                 return None, None
@@ -97,9 +97,9 @@
             return old, old
         self._count(old)
         if old.state is not new.state or old.start != new.start:
-            found.since = now
+            found.state_since = now
         if new.start != old.start:
-            found.heard = found.known = now
+            found.last_received_at = found.last_known_at = now
         found.row, found.mark = new, mark(new)
         self._count(new)
         self._place(found, old.present)
@@ -107,8 +107,8 @@
         return old, new
 
     def _enter(self, now: float, row: Row):
-        found = Held(row, mark(row), now, now, now)
-        self.held[row.seat] = found
+        found = MemberRecord(row, mark(row), now, now, now)
+        self.records[row.seat] = found
         self.by_bucket[bucket_of(row.seat)][row.seat] = found
         self._count(row)
         self._place(found, not row.present)
@@ -117,7 +117,7 @@
             if row.state is State.SUSPECT:
                 self.event(now, "suspected", row, row.accusers)
 
-    def _place(self, found: Held, was_present: bool):
+    def _place(self, found: MemberRecord, was_present: bool):
         row = found.row
         if row.present and row.seat not in self.present:
             self.present[row.seat] = found
@@ -126,7 +126,7 @@
             seats.add(row.seat)
             if len(seats) > 1 or row.name == self.me.name:
                 self.event(
-                    found.since,
+                    found.state_since,
                     "twin",
                     row,
                     tuple(sorted(address for _, address in seats)),
@@ -157,7 +157,7 @@
             self.event(now, "changed", new)
 
     def forget(self, seat: Seat) -> None:
-        found = self.held.pop(seat)
+        found = self.records.pop(seat)
         self.gone.pop(seat, None)
         self._count(found.row)
         del self.by_bucket[bucket_of(seat)][seat]
@@ -165,7 +165,7 @@
     def sweep(self, now: float) -> None:
         """The long gone are forgotten; they lie in the order of their going."""
         for seat, found in list(self.gone.items()):
-            if now - found.since < self.forget_after:
+            if now - found.state_since < self.forget_after:
                 break
             self.forget(seat)
 
@@ -176,11 +176,11 @@
     def row(self, seat: Seat) -> Row | None:
         if seat == self.me.seat:
             return self.me
-        found = self.held.get(seat)
+        found = self.records.get(seat)
         return found.row if found else None
 
     def suspected(self, seat: Seat, accuser: str) -> Row:
         """What this member says when it finds the seat silent, or agrees with who does."""
-        row = self.held[seat].row
+        row = self.records[seat].row
         accusers = row.accusers if row.state is State.SUSPECT else ()
-        return replace(row, state=State.SUSPECT, accusers=tuple(sorted({*accusers, accuser})[:MOST_ACCUSERS]))
+        return replace(row, state=State.SUSPECT, accusers=tuple(sorted({*accusers, accuser})[:MAX_ACCUSERS]))
--- a/sprucespool/membership/messages.py
+++ b/sprucespool/membership/messages.py
@@ -13,7 +13,7 @@
 
 
 # Events after which others are there than before, or not for sure.
-MOVES = ("joined", "left", "died", "restarted", "suspected", "cleared")
+PRESENCE_KINDS = ("joined", "left", "died", "restarted", "suspected", "cleared")
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class Outgoing:
     """Send `message` to the address `to`. Nobody waits for it to arrive."""
 
     to: str
--- a/sprucespool/membership/rows.py
+++ b/sprucespool/membership/rows.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass, replace
 from enum import IntEnum
 
-MOST_ACCUSERS = 4
-MOST_FIGURES = 16
+MAX_ACCUSERS = 4
+MAX_FIGURES = 16
 Seat = tuple[str, str]
 
 
@@ -57,7 +57,7 @@
     about: About = About()
     seal: bytes = b""
     accusers: tuple[str, ...] = ()
-    beat: int = 0
+    figures_version: int = 0
     figures: tuple[float, ...] = ()
 
     @property
@@ -65,7 +65,7 @@
         return self.name, self.address
 
     @property
-    def life(self) -> tuple[bool, int, int]:
+    def liveness(self) -> tuple[bool, int, int]:
         return self.state is State.LEFT, self.incarnation, self.state
 
     @property
@@ -84,18 +84,18 @@
     if one == other:
         return one
     told = one if (one.version, _content(one)) >= (other.version, _content(other)) else other
-    life, less = (one, other) if (one.life, one.seal) >= (other.life, other.seal) else (other, one)
+    life, less = (one, other) if (one.liveness, one.seal) >= (other.liveness, other.seal) else (other, one)
     accusers = life.accusers
-    if life.life == less.life:
-        accusers = tuple(sorted({*one.accusers, *other.accusers})[:MOST_ACCUSERS])
-    beat, figures = max((one.beat, one.figures), (other.beat, other.figures))
+    if life.liveness == less.liveness:
+        accusers = tuple(sorted({*one.accusers, *other.accusers})[:MAX_ACCUSERS])
+    figures_version, figures = max((one.figures_version, one.figures), (other.figures_version, other.figures))
     return replace(
         told,
         incarnation=life.incarnation,
         state=life.state,
         seal=life.seal,
         accusers=accusers,
-        beat=beat,
+        figures_version=figures_version,
         figures=figures,
     )
 
--- a/sprucespool/membership/shares.py
+++ b/sprucespool/membership/shares.py
@@ -20,14 +20,14 @@
 import math
 from dataclasses import dataclass, field
 
-MOST_HEIRS, MOST_ASKED = 8, 32
+MAX_BORROWERS, MAX_UNCONFIRMED = 8, 32
 
 
 @dataclass(slots=True, eq=False)
 class Loan:
     start: int
-    part: float
-    until: float
+    share: float
+    expires_at: float
 
 
 @dataclass(slots=True, eq=False)
@@ -39,40 +39,40 @@
     start: int
     loan: float = 10_000.0
     drift: float = 0.01
-    begun: float = math.nan
+    started_at: float = math.nan
     ready: bool = False
     closed: bool = False
     # Of other numbers: which process holds nothing of this one's slot; the newest process heard of.
     freed: set[int] = field(default_factory=set)
-    newest: dict[int, int] = field(default_factory=dict)
+    newest_starts: dict[int, int] = field(default_factory=dict)
     borrowed: dict[int, Loan] = field(default_factory=dict)
-    asked: dict[int, tuple[float, int, int]] = field(default_factory=dict)
+    requested: dict[int, tuple[float, int, int]] = field(default_factory=dict)
     granted: float = 0.0
 
     def begin(self, now: float) -> None:
-        if math.isnan(self.begun):
-            self.begun = now
-        self._look(now)
+        if math.isnan(self.started_at):
+            self.started_at = now
+        self._advance(now)
 
-    def _look(self, now: float):
+    def _advance(self, now: float):
         if not self.ready and (
-            self.loan <= 0 or now - self.begun >= self.loan * (1 + self.drift) or len(self.freed) >= self.of - 1
+            self.loan <= 0 or now - self.started_at >= self.loan * (1 + self.drift) or len(self.freed) >= self.of - 1
         ):
             self.ready = True
         for number, loan in list(self.borrowed.items()):
-            if now >= loan.until:
+            if now >= loan.expires_at:
                 del self.borrowed[number]
 
     # What is asked
 
-    def wanted(self, present: set[int]) -> set[int]:
+    def unconfirmed_numbers(self, present: set[int]) -> set[int]:
         """Numbers among those present that have yet to say that they hold nothing of this slot. Hundreds are not
         asked: with so many a part is small, and the wait for it short beside the storm."""
-        if self.ready or self.of - 1 - len(self.freed) > MOST_ASKED:
+        if self.ready or self.of - 1 - len(self.freed) > MAX_UNCONFIRMED:
             return set()
         return present - self.freed - {self.number}
 
-    def may_borrow(self, now: float, number: int, start: int, of: int, asks: int) -> bool:
+    def may_borrow(self, now: float, number: int, start: int, of: int, request: int) -> bool:
         """Whether to ask the leaver for a loan, with the number `asks`; the loan counts from now."""
         if (
             self.closed
@@ -81,56 +81,58 @@
             or number == self.number
             or of != self.of
             or not 0 <= number < self.of
-            or self.newest.get(number, start) > start
+            or self.newest_starts.get(number, start) > start
         ):
             return False
-        for old, (at, _, _) in list(self.asked.items()):
+        for old, (at, _, _) in list(self.requested.items()):
             if now - at >= self.loan:
-                del self.asked[old]
-        self.asked[asks] = now, number, start
+                del self.requested[old]
+        self.requested[request] = now, number, start
         return True
 
     # What is answered
 
-    def lend(self, live: int) -> float:
+    def grant_loan(self, live: int) -> float:
         """The part of the slot that one who asks may have: only when nothing more will be sent from here."""
-        heirs = min(MOST_HEIRS, max(1, live - 1))
-        part = 1.0 / heirs
-        if not self.closed or not self.ready or self.granted + part > 1.0 + 1e-9:
+        heirs = min(MAX_BORROWERS, max(1, live - 1))
+        share = 1.0 / heirs
+        if not self.closed or not self.ready or self.granted + share > 1.0 + 1e-9:
             return 0.0
-        self.granted += part
-        return part
+        self.granted += share
+        return share
 
     @property
     def all_lent(self) -> bool:
         """Whether nothing of the slot is left to lend."""
         return not self.ready or self.loan <= 0 or self.granted > 1.0 - 1e-9
 
-    def lent(self, now: float, asks: int, number: int, start: int, part: float) -> None:
-        asked = self.asked.pop(asks, None)
-        if asked is None or asked[1:] != (number, start) or not 0 < part <= 1 or self.closed:
+    def accept_loan(self, now: float, request: int, number: int, start: int, share: float) -> None:
+        asked = self.requested.pop(request, None)
+        if asked is None or asked[1:] != (number, start) or not 0 < share <= 1 or self.closed:
             return
         until = asked[0] + self.loan
-        if now < until and self.newest.get(number, start) <= start:
-            self.borrowed[number] = Loan(start, part, until)
+        if now < until and self.newest_starts.get(number, start) <= start:
+            self.borrowed[number] = Loan(start, share, until)
 
-    def free(self, number: int, start: int) -> None:
+    def release(self, number: int, start: int) -> None:
         """The process `start` of `number` asks whether anything of its slot is held here: from now on nothing is."""
-        self.seen(number, start)
+        self.note_process(number, start)
 
-    def told_free(self, now: float, number: int) -> None:
+    def confirm_freed(self, now: float, number: int) -> None:
         if number != self.number and 0 <= number < self.of:
             self.freed.add(number)
-            self._look(now)
+            self._advance(now)
 
-    def seen(self, number: int, start: int) -> None:
+    def note_process(self, number: int, start: int) -> None:
         """A process of that number is there."""
-        if number != self.number and start > self.newest.get(number, -1):
-            self.newest[number] = start
+        if number != self.number and start > self.newest_starts.get(number, -1):
+            self.newest_starts[number] = start
             loan = self.borrowed.get(number)
             if loan is not None and loan.start < start:
                 del self.borrowed[number]
-            self.asked = {asks: one for asks, one in self.asked.items() if one[1] != number or one[2] >= start}
+            self.requested = {
+                request: one for request, one in self.requested.items() if one[1] != number or one[2] >= start
+            }
 
     def close(self) -> None:
         """Nothing is sent from here any more: whatever this process held it holds no longer."""
@@ -139,17 +141,17 @@
 
     # What it comes to
 
-    def part(self, now: float, of: int = 0, alike: int = 1) -> float:
+    def share(self, now: float, of: int = 0, alike: int = 1) -> float:
         """Of the whole, 0 to 1. `of`: the largest told by a member; `alike`: processes that tell this one's number."""
-        self._look(now)
+        self._advance(now)
         if self.closed:
             return 0.0
-        slots = (1.0 if self.ready else 0.0) / max(1, alike) + sum(loan.part for loan in self.borrowed.values())
+        slots = (1.0 if self.ready else 0.0) / max(1, alike) + sum(loan.share for loan in self.borrowed.values())
         return min(1.0, slots / max(self.of, of))
 
     def due(self, now: float) -> float:
         """When the part changes by itself."""
-        times = [loan.until for loan in self.borrowed.values()]
-        if not self.ready and not math.isnan(self.begun):
-            times.append(self.begun + self.loan * (1 + self.drift))
+        times = [loan.expires_at for loan in self.borrowed.values()]
+        if not self.ready and not math.isnan(self.started_at):
+            times.append(self.started_at + self.loan * (1 + self.drift))
         return min((at for at in times if at > now), default=math.inf)
--- a/sprucespool/membership/doubts.py
+++ b/sprucespool/membership/suspicions.py
@@ -11,22 +11,22 @@
 
 
 @dataclass(slots=True, eq=False)
-class Doubt:
+class Suspicion:
     start: int
     incarnation: int
     since: float
     accusers: set[str]
     due: float = math.inf
     # It was asked once more, at the end.
-    looked: bool = False
+    rechecked: bool = False
 
 
 @dataclass(slots=True)
-class Doubts:
+class Suspicions:
     """`least` and `most` ms of suspicion; `enough` accusers beyond the first bring it down to the least."""
 
     enough: int = 3
-    held: dict[Seat, Doubt] = field(default_factory=dict)
+    active: dict[Seat, Suspicion] = field(default_factory=dict)
     _heap: list[tuple[float, Seat]] = field(default_factory=list)
 
     def add(
@@ -40,9 +40,9 @@
         most: float,
         group: int,
     ) -> None:
-        found = self.held.get(seat)
+        found = self.active.get(seat)
         if found is None or (found.start, found.incarnation) != (start, incarnation):
-            found = self.held[seat] = Doubt(start, incarnation, now, set())
+            found = self.active[seat] = Suspicion(start, incarnation, now, set())
         found.accusers |= accusers
         # In a group of three there is one other that could confirm, in a group of two none.
         enough = min(self.enough, max(0, group - 2))
@@ -54,33 +54,33 @@
             heapq.heappush(self._heap, (due, seat))
 
     def clear(self, seat: Seat) -> None:
-        self.held.pop(seat, None)
+        self.active.pop(seat, None)
 
     def shift(self, by: float) -> None:
         """Time in which this member was held still itself counts against nobody."""
-        for found in self.held.values():
+        for found in self.active.values():
             found.since += by
             found.due += by
-        self._heap = [(found.due, seat) for seat, found in self.held.items()]
+        self._heap = [(found.due, seat) for seat, found in self.active.items()]
         heapq.heapify(self._heap)
 
     def next_due(self) -> float:
         while self._heap:
             due, seat = self._heap[0]
-            found = self.held.get(seat)
+            found = self.active.get(seat)
             if found is not None and found.due == due:
                 return due
             heapq.heappop(self._heap)
         return math.inf
 
-    def over(self, now: float) -> list[tuple[Seat, Doubt]]:
+    def expired(self, now: float) -> list[tuple[Seat, Suspicion]]:
         done = []
         while self.next_due() <= now:
             _, seat = heapq.heappop(self._heap)
-            done.append((seat, self.held.pop(seat)))
+            done.append((seat, self.active.pop(seat)))
         return done
 
-    def look_again(self, seat: Seat, doubt: Doubt, due: float) -> None:
-        doubt.looked, doubt.due = True, due
-        self.held[seat] = doubt
+    def recheck_at(self, seat: Seat, doubt: Suspicion, due: float) -> None:
+        doubt.rechecked, doubt.due = True, due
+        self.active[seat] = doubt
         heapq.heappush(self._heap, (due, seat))
--- a/sprucespool/standin/members.py
+++ b/sprucespool/standin/members.py
@@ -4,45 +4,45 @@
 
 from dataclasses import replace
 
-from sprucespool.membership import About, Group, Message, Row, Say, State
+from sprucespool.membership import About, Group, Message, Row, Outgoing, State
 
 
 class Shunning(Group):
     """(a) Hears nobody whom it holds dead: halves that lost each other never meet again."""
 
-    def heard(self, now: float, message: Message) -> list[Say]:
-        held = self.book.held.get(message.sender.seat)
+    def receive(self, now: float, message: Message) -> list[Outgoing]:
+        held = self.table.records.get(message.sender.seat)
         if held is not None and held.row.state is State.DEAD:
             return []
-        return super().heard(now, message)
+        return super().receive(now, message)
 
 
 class Silent(Group):
     """(b) Says nothing when it hears that it is taken for dead."""
 
-    def _about_me(self, now: float, row: Row, teller: str) -> bool:
+    def _learn_about_self(self, now: float, row: Row, reporter: str) -> bool:
         return False
 
 
 class Trusting(Group):
     """(c) Accuses nobody and believes no accusation."""
 
-    def _failed(self, now: float, check) -> None:
+    def _check_failed(self, now: float, check) -> None:
         pass
 
-    def _believed(self, now, row, held, teller) -> bool:
+    def _is_credible(self, now, row, held, reporter) -> bool:
         return False
 
 
 class Forgetful(Group):
     """(d) Counts its own tellings from the start again."""
 
-    def _period(self, now: float) -> list[Say]:
+    def _period(self, now: float) -> list[Outgoing]:
         if self._periods % 4 == 0:
-            self.book.set_me(replace(self.me, version=0 if self.me.version else 3))
+            self.table.set_me(replace(self.me, version=0 if self.me.version else 3))
         return super()._period(now)
 
-    def _about_me(self, now: float, row: Row, teller: str) -> bool:
+    def _learn_about_self(self, now: float, row: Row, reporter: str) -> bool:
         # What others remember of its tellings would else put it right before anybody looks.
         return False
 
@@ -50,26 +50,26 @@
 class Wordless(Group):
     """(e) Leaves without a word."""
 
-    def leave(self, now: float) -> list[Say]:
+    def leave(self, now: float) -> list[Outgoing]:
         super().leave(now)
         return []
 
-    def tell(self, now: float, about: About) -> list[Say]:
-        super().tell(now, about)
+    def update_about(self, now: float, about: About) -> list[Outgoing]:
+        super().update_about(now, about)
         return []
 
 
 class Greedy(Group):
     """(f) Divides by those it sees, whoever else there may be."""
 
-    def part(self) -> float:
+    def share(self) -> float:
         return 1.0 / max(1, len(self.live()))
 
 
 class Liar(Group):
     """Breaks no invariant by itself: says of all others, again and again and ever higher, that they are silent."""
 
-    def _period(self, now: float) -> list[Say]:
+    def _period(self, now: float) -> list[Outgoing]:
         rows = tuple(
             replace(
                 held.row,
@@ -77,11 +77,11 @@
                 accusers=(self.name,),
                 incarnation=held.row.incarnation + (10**9 if self._periods % 2 else 1),
             )
-            for held in list(self.book.present.values())[:8]
+            for held in list(self.table.present.values())[:8]
         )
         return super()._period(now) + [
-            self._say(seat[1], "ping", self._to(seat), self._next_number(), rows)
-            for seat in list(self.book.present)[:4]
+            self._send(seat[1], "ping", self._by_name(seat), self._next_number(), rows)
+            for seat in list(self.table.present)[:4]
         ]
 
 
--- a/tests/test_group_model.py
+++ b/tests/test_group_model.py
@@ -9,7 +9,7 @@
 from sprucespool.emulator.explore import explore
 from sprucespool.emulator.models import GroupWorld, SharesWorld, ViewWorld, of_kind
 from sprucespool.fleet import Fleet, Word, records
-from sprucespool.membership import Group, State, book
+from sprucespool.membership import Group, State, member_table
 from sprucespool.membership.rows import Row
 from sprucespool.membership.shares import Shares
 from sprucespool.standin.views import Clinging, Deaf
@@ -47,27 +47,27 @@
 
 
 class Mute(Group):
-    def _about_me(self, now, row, teller):
+    def _learn_about_self(self, now, row, reporter):
         return False
 
 
 class SameAgain(Group):
     """Says that it lives without a higher incarnation."""
 
-    def _about_me(self, now, row, teller):
-        done = super()._about_me(now, row, teller)
-        self.book.set_me(replace(self.me, incarnation=0))
+    def _learn_about_self(self, now, row, reporter):
+        done = super()._learn_about_self(now, row, reporter)
+        self.table.set_me(replace(self.me, incarnation=0))
         return done
 
 
 class Deadly(Group):
     """Another's word of a death is a death, whoever lives to say otherwise, and its owner's word of life none."""
 
-    def _learn(self, now, row, teller):
-        held = self.book.held.get(row.seat)
+    def _learn(self, now, row, reporter):
+        held = self.table.records.get(row.seat)
         if held is not None and held.row.start == row.start and held.row.state is State.DEAD:
             return False
-        return super()._learn(now, row, teller)
+        return super()._learn(now, row, reporter)
 
 
 @pytest.mark.parametrize("kind", [Mute, SameAgain, Deadly])
@@ -87,58 +87,58 @@
 
 @pytest.mark.parametrize("rule", [last_told, by_incarnation_alone])
 def test_a_merge_that_is_no_join_is_found(rule, monkeypatch):
-    monkeypatch.setattr(book, "merge", rule)
+    monkeypatch.setattr(member_table, "merge", rule)
     assert explore(of_kind(GroupWorld), 4).wrong
 
 
 class FromReceipt(Shares):
     """Counts a loan from when it came."""
 
-    def lent(self, now, asks, number, start, part):
-        if asks in self.asked:
-            self.asked[asks] = now, *self.asked[asks][1:]
-        super().lent(now, asks, number, start, part)
+    def accept_loan(self, now, request, number, start, share):
+        if request in self.requested:
+            self.requested[request] = now, *self.requested[request][1:]
+        super().accept_loan(now, request, number, start, share)
 
 
 class Hasty(Shares):
     """Uses its slot at once."""
 
-    def _look(self, now):
+    def _advance(self, now):
         self.ready = True
-        super()._look(now)
+        super()._advance(now)
 
 
 class Early(Shares):
     """Lends before it has ended."""
 
-    def lend(self, live):
+    def grant_loan(self, live):
         closed, self.closed = self.closed, True
-        part = super().lend(live)
+        share = super().grant_loan(live)
         self.closed = closed
-        return part
+        return share
 
 
 class Keeper(Shares):
     """Says that it holds nothing, and holds on."""
 
-    def free(self, number, start):
+    def release(self, number, start):
         pass
 
 
 class Generous(Shares):
     """Lends the whole slot to each."""
 
-    def lend(self, live):
+    def grant_loan(self, live):
         return 1.0 if self.closed else 0.0
 
 
 class Undying(Shares):
     """Does not look at when a loan ends."""
 
-    def lent(self, now, asks, number, start, part):
-        super().lent(now, asks, number, start, part)
+    def accept_loan(self, now, request, number, start, share):
+        super().accept_loan(now, request, number, start, share)
         for loan in self.borrowed.values():
-            loan.until = 1e9
+            loan.expires_at = 1e9
 
 
 @pytest.mark.parametrize(
--- a/tests/test_group_sockets.py
+++ b/tests/test_group_sockets.py
@@ -200,7 +200,7 @@
     """From one that knows the mark: words of a member's earlier life, and names that came and went."""
     from sprucespool.grpc.status import Limits
     from sprucespool.membership import About, Codec, Message, Row, State
-    from sprucespool.membership.codec import MOST_ROWS
+    from sprucespool.membership.codec import MAX_ROWS
     from sprucespool.transport.plan import PoolLimits
     from sprucespool.transport.pool import ENDS, Pool
     from sprucespool.wire import names as paths
@@ -240,8 +240,8 @@
         before = rig.watch.newest[names[0]].digest
         await say(Message("ping", was, (names[0], 0), 7), Message("ack", was, number=1), Message("digest", was))
         made_up = [Row(f"x{n}", f"127.0.0.1:{n + 1}", 5, state=State.DEAD, about=About("r", "z")) for n in range(2_000)]
-        for n in range(0, 2_000, MOST_ROWS // 2):
-            await say(Message("extra", was, rows=tuple(made_up[n : n + MOST_ROWS // 2])))
+        for n in range(0, 2_000, MAX_ROWS // 2):
+            await say(Message("extra", was, rows=tuple(made_up[n : n + MAX_ROWS // 2])))
         assert all(end.status.name == "OK" for end in ends)
         await asyncio.sleep(2.0)
         view = await fetch("{}:{}".format(*rig.relays.relays[names[0]].target))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -12,10 +12,10 @@
 from sprucespool.faults import LinkState
 from sprucespool.judge import group as seen
 from sprucespool.membership import About, Codec, Event, Group, Message, MessageError, Row, State, merge
-from sprucespool.membership.conduct import Conduct
-from sprucespool.membership.doubts import Doubts
+from sprucespool.membership.accuser_trust import AccuserTrust
 from sprucespool.membership.messages import KINDS
-from sprucespool.membership.rows import MOST_ACCUSERS, MOST_FIGURES, Phase
+from sprucespool.membership.rows import MAX_ACCUSERS, MAX_FIGURES, Phase
+from sprucespool.membership.suspicions import Suspicions
 
 FAST = settings(max_examples=200, deadline=None, derandomize=True, database=None)
 SILENT = LinkState(cut="silent")
@@ -38,7 +38,7 @@
     st.integers(0, 2),
     ABOUT,
     st.binary(max_size=4),
-    st.lists(st.sampled_from("pqrst"), max_size=MOST_ACCUSERS, unique=True).map(lambda n: tuple(sorted(n))),
+    st.lists(st.sampled_from("pqrst"), max_size=MAX_ACCUSERS, unique=True).map(lambda n: tuple(sorted(n))),
     st.integers(0, 2),
     st.lists(st.floats(0, 9), max_size=2).map(tuple),
 )
@@ -54,7 +54,7 @@
     for row in (one, other):
         assert both.start >= row.start
         if both.start == row.start:
-            assert both.life >= row.life and both.version >= row.version
+            assert both.liveness >= row.liveness and both.version >= row.version
 
 
 MESSAGE = st.builds(
@@ -100,9 +100,9 @@
         replace(good, name="x" * 200),
         replace(good, incarnation=2**63 - 1),
         replace(good, start=-1),
-        replace(good, figures=(1.0,) * (MOST_FIGURES + 1)),
+        replace(good, figures=(1.0,) * (MAX_FIGURES + 1)),
         replace(good, figures=(float("nan"),)),
-        replace(good, beat=-1),
+        replace(good, figures_version=-1),
         replace(good, about=About(of=0)),
         replace(good, accusers=("a",) * 5),
         replace(good, seal=b"s" * 40),
@@ -112,7 +112,7 @@
 
 
 def test_a_doubt_grows_shorter_with_each_accuser_and_no_longer_than_the_most():
-    doubts, seat = Doubts(), ("a", "at")
+    doubts, seat = Suspicions(), ("a", "at")
     doubts.add(0.0, seat, 1, 0, {"p"}, 4.0, 16.0, 300)
     dues = [doubts.next_due()]
     for accuser in "qrst":
@@ -120,12 +120,12 @@
         dues.append(doubts.next_due())
     assert dues[0] == 16.0 and dues == sorted(dues, reverse=True) and dues[3] == dues[4] == 4.0
     doubts.shift(10.0)
-    assert doubts.over(13.9) == [] and [one for one, _ in doubts.over(14.0)] == [seat]
+    assert doubts.expired(13.9) == [] and [one for one, _ in doubts.expired(14.0)] == [seat]
     assert doubts.next_due() == float("inf")
 
 
 def test_who_accuses_members_that_were_just_heard_from_is_believed_no_more_for_a_while():
-    conduct = Conduct(victims=3, window=30.0, pause=60.0)
+    conduct = AccuserTrust(distrust_after=3, window_ms=30.0, distrust_ms=60.0)
     assert not any(conduct.contradicted(0.0, "liar", ("a", "at")) for _ in range(9)), "one victim may be cut off"
     assert not conduct.contradicted(1.0, "liar", ("b", "at")) and conduct.contradicted(2.0, "liar", ("c", "at"))
     assert conduct.distrusted(3.0, "liar") and not conduct.distrusted(70.0, "liar")
@@ -143,14 +143,14 @@
         for name in chosen:
             one = virtual.members[name]
             if name not in virtual.still:
-                rows = [one.me, *(held.row for held in one.book.held.values())]
+                rows = [one.me, *(held.row for held in one.table.records.values())]
                 noted.append(
                     seen.SeenView(
                         virtual.now,
                         name,
                         one.start,
                         f"{one.digest}",
-                        one.part(),
+                        one.share(),
                         [
                             seen.SeenRow(row.name, row.start, row.state.name.lower(), row.incarnation, row.version)
                             for row in rows
@@ -292,7 +292,7 @@
         virtual.run(
             6_000,
             lambda: all(
-                (row := one.book.row(new.me.seat)) and row.start == new.start for one in virtual.members.values()
+                (row := one.table.row(new.me.seat)) and row.start == new.start for one in virtual.members.values()
             ),
         )
         is not None
@@ -408,28 +408,28 @@
 def test_figures_reach_all_within_their_time_and_no_digest_counts_them():
     virtual = Virtual(60, seed=15, settled=True)
     virtual.run(5_000)
-    marks = {name: (one.digest, tuple(one.book.marks)) for name, one in virtual.members.items()}
+    marks = {name: (one.digest, tuple(one.table.marks)) for name, one in virtual.members.items()}
     told = virtual.members["c7"]
-    assert told.weigh(virtual.now, (100.0, 2.0))
-    assert not told.weigh(virtual.now, (900.0, 2.0)), "no more often than the group's news can carry"
+    assert told.update_figures(virtual.now, (100.0, 2.0))
+    assert not told.update_figures(virtual.now, (900.0, 2.0)), "no more often than the group's news can carry"
     virtual.run(10_000)
-    held = [one.book.row(told.me.seat).figures for one in virtual.members.values()]
+    held = [one.table.row(told.me.seat).figures for one in virtual.members.values()]
     assert held == [(100.0, 2.0)] * 60
-    assert {name: (one.digest, tuple(one.book.marks)) for name, one in virtual.members.items()} == marks
-    assert not told.weigh(virtual.now, (110.0, 2.0)) and told.weigh(virtual.now, (200.0, 2.0))
+    assert {name: (one.digest, tuple(one.table.marks)) for name, one in virtual.members.items()} == marks
+    assert not told.update_figures(virtual.now, (110.0, 2.0)) and told.update_figures(virtual.now, (200.0, 2.0))
     # What somebody else says of its load does not stand.
     one = virtual.members["c1"]
-    false = replace(told.me, beat=told.me.beat + 5, figures=(1e9,))
-    one.heard(virtual.now, Message("ack", virtual.members["c2"].me, rows=(false,)))
+    false = replace(told.me, figures_version=told.me.figures_version + 5, figures=(1e9,))
+    one.receive(virtual.now, Message("ack", virtual.members["c2"].me, rows=(false,)))
     virtual.run(20_000)
-    assert {member.book.row(told.me.seat).figures for member in virtual.members.values()} == {(200.0, 2.0)}
+    assert {member.table.row(told.me.seat).figures for member in virtual.members.values()} == {(200.0, 2.0)}
 
 
 def test_more_figures_than_a_row_may_have_are_refused_where_they_are_told_and_the_daemons_are_fewer():
     """Seen: one figure more, and all members refused each other's rows without a word to the teller."""
     world = Virtual(3)
     with pytest.raises(ValueError, match="16 figures at the most, got 17"):
-        world.members["c0"].weigh(0.0, (1.0,) * 17)
+        world.members["c0"].update_figures(0.0, (1.0,) * 17)
     row = replace(world.members["c0"].me, figures=(1.0,) * len((*FIGURES, *MORE_FIGURES)))
     message = Message("rows", row, ("c1", 0), 1, rows=(row,))
     codec = Codec("g", "m")
@@ -441,8 +441,8 @@
     one = virtual.members["c0"]
     for n in range(2_000):
         row = Row(f"x{n}", f"y{n}", 5, about=About("r", "z"))
-        one.heard(virtual.now, Message("ping", row, ("c0", 0), 1))
-        one.heard(
+        one.receive(virtual.now, Message("ping", row, ("c0", 0), 1))
+        one.receive(
             virtual.now,
             Message(
                 "ping",
@@ -451,11 +451,11 @@
             ),
         )
         for _ in range(2):
-            one.doubts.shift(-1e9)
+            one.suspicions.shift(-1e9)
             one.tick(virtual.now)
-    assert len(one.book.held) <= 2 + one.limits.most_gone + 8 and len(one._news) <= len(one.book.held) + 1
+    assert len(one.table.records) <= 2 + one.limits.max_gone + 8 and len(one._updates) <= len(one.table.records) + 1
     old = Row("x1999", "y1999", 5, about=About("r", "z"))
-    one.heard(virtual.now, Message("ack", virtual.members["c1"].me, rows=(old,)))
+    one.receive(virtual.now, Message("ack", virtual.members["c1"].me, rows=(old,)))
     assert "x1999" not in [row.name for row in one.live()]
-    one.book.sweep(virtual.now + one.limits.forget_after + 1e9)
-    assert len(one.book.held) == 2, "the dead are forgotten in the end"
+    one.table.sweep(virtual.now + one.limits.forget_after + 1e9)
+    assert len(one.table.records) == 2, "the dead are forgotten in the end"
