--- a/sprucespool/membership/__init__.py
+++ b/sprucespool/membership/__init__.py
@@ -1,6 +1,6 @@
-"""Who else is in the group of controllers: identity, detection, repair, events, shared parts. No I/O, no clock.
+"""Membership of the group of controllers: identity, failure detection, repair, events, shared quotas. No I/O, no clock.
 
-`Group` is one member; `Codec` its messages as bytes; `Shares` its part of what all divide.
+`Group` is one member, `Codec` encodes its messages, and `Shares` computes its share of the common quotas.
 """
 
 from sprucespool.membership.codec import Codec, MessageError
--- a/sprucespool/membership/accuser_trust.py
+++ b/sprucespool/membership/accuser_trust.py
@@ -1,7 +1,7 @@
-"""Whose accusations are worth listening to, going by own evidence. No I/O, no clock.
+"""Which accusers to trust, judged by this member's own observations. No I/O, no clock.
 
-Against a member that hears nothing and blames everybody, and against one that lies: whoever accuses several members
-that this one has just heard from itself is not believed for a while, and is named.
+Guards against a member that receives nothing and suspects everybody, and against one that lies: an accuser of several
+members that this one has just received messages from is distrusted for a while and reported in an event.
 """
 
 from __future__ import annotations
@@ -13,31 +13,34 @@
 
 @dataclass(slots=True)
 class AccuserTrust:
+    """Contradicted accusations by accuser. `distrust_after` contradicted targets within `window_ms` make it distrusted
+    for `distrust_ms`."""
+
     distrust_after: int = 3
     window_ms: float = 30_000.0
     distrust_ms: float = 60_000.0
-    _wrong: dict[str, dict[Seat, float]] = field(default_factory=dict)
-    _until: dict[str, float] = field(default_factory=dict)
+    _contradictions: dict[str, dict[Seat, float]] = field(default_factory=dict)
+    _distrusted_until: dict[str, float] = field(default_factory=dict)
 
     def contradicted(self, now: float, accuser: str, seat: Seat) -> bool:
-        """Own evidence spoke against an accusation; true if the accuser is distrusted from now on."""
+        """Record an accusation that own observations contradict; true if the accuser is distrusted from now on."""
         if self.distrusted(now, accuser):
             return False
-        wrong = self._wrong.setdefault(accuser, {})
-        wrong[seat] = now
-        for other, at in list(wrong.items()):
+        contradictions = self._contradictions.setdefault(accuser, {})
+        contradictions[seat] = now
+        for other, at in list(contradictions.items()):
             if now - at > self.window_ms:
-                del wrong[other]
-        if len(self._wrong) > 256:
-            # Names come from messages: invented ones must not fill the memory.
-            self._wrong.pop(next(iter(self._wrong)))
-        if len(wrong) < self.distrust_after:
+                del contradictions[other]
+        if len(self._contradictions) > 256:
+            # Names come from messages, so made-up ones must not use up memory.
+            self._contradictions.pop(next(iter(self._contradictions)))
+        if len(contradictions) < self.distrust_after:
             return False
-        self._wrong.pop(accuser, None)
-        self._until[accuser] = now + self.distrust_ms
-        if len(self._until) > 256:
-            self._until.pop(next(iter(self._until)))
+        self._contradictions.pop(accuser, None)
+        self._distrusted_until[accuser] = now + self.distrust_ms
+        if len(self._distrusted_until) > 256:
+            self._distrusted_until.pop(next(iter(self._distrusted_until)))
         return True
 
     def distrusted(self, now: float, accuser: str) -> bool:
-        return self._until.get(accuser, -1.0) > now
+        return self._distrusted_until.get(accuser, -1.0) > now
--- a/sprucespool/membership/codec.py
+++ b/sprucespool/membership/codec.py
@@ -1,8 +1,8 @@
-"""Messages between members as bytes: msgpack, bounded, sealed with the group's name and shared mark.
+"""Encodes messages between members: msgpack, bounded, sealed with a key from the group's name and shared mark.
 
-What is no message of this group is refused with what was expected. The seal is a keyed hash (BLAKE2b), so that a
-message of another group, a changed one, or one made up by who does not know the mark never gets in; an old one sent
-again does, and changes nothing, since news is joined and answers must have the number of an open question.
+Bytes that are no message of this group are refused with what was expected. The seal is a keyed hash (BLAKE2b), so a
+message of another group, a modified one, or one forged without the mark is refused. A replayed message is accepted and
+changes nothing, since updates are merged by a join and an answer must have the number of an open request.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 from sprucespool.membership.messages import KINDS, Message
 from sprucespool.membership.rows import MAX_ACCUSERS, MAX_FIGURES, About, Phase, Row, State
 
-MAX_BYTES, MAX_ROWS, LONGEST_NAME, MOST_SEATS = 65_536, 512, 128, 512
-LONGEST_TEXT, SEAL = 64, 16
-_LARGEST = 2**62
+MAX_BYTES, MAX_ROWS, MAX_NAME_CHARS, MAX_SEATS = 65_536, 512, 128, 512
+MAX_TEXT_CHARS, SEAL_BYTES = 64, 16
+_MAX_INTEGER = 2**62
 
 
 class MessageError(ValueError):
-    """Bytes that are no message of this group."""
+    """The bytes are not a message of this group."""
 
 
 _RowWire = tuple[str, str, int, int, int, int, str, str, int, int, str, int, bytes, list[str], int, list[float]]
@@ -46,7 +46,7 @@
 _ENCODER, _DECODER = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(_Wire)
 
 
-def _row_out(row: Row) -> tuple:
+def _encode_row(row: Row) -> tuple:
     about = row.about
     return (
         row.name,
@@ -68,7 +68,7 @@
     )
 
 
-def _row_in(told: tuple) -> Row:
+def _decode_row(encoded: tuple) -> Row:
     (
         name,
         address,
@@ -86,19 +86,19 @@
         accusers,
         figures_version,
         figures,
-    ) = told
+    ) = encoded
     if (
-        not 0 < len(name) <= LONGEST_NAME
-        or not 0 < len(address) <= LONGEST_NAME
+        not 0 < len(name) <= MAX_NAME_CHARS
+        or not 0 < len(address) <= MAX_NAME_CHARS
         or min(start, incarnation, version, number, figures_version) < 0
-        or max(start, incarnation, version, number, of, figures_version) > _LARGEST
+        or max(start, incarnation, version, number, of, figures_version) > _MAX_INTEGER
         or of < 1
-        or max(len(region), len(zone), len(build)) > LONGEST_TEXT
+        or max(len(region), len(zone), len(build)) > MAX_TEXT_CHARS
         or len(figures) > MAX_FIGURES
         or not all(map(math.isfinite, figures))
         or len(seal) > 32
         or len(accusers) > MAX_ACCUSERS
-        or any(len(accuser) > LONGEST_NAME for accuser in accusers)
+        or any(len(accuser) > MAX_NAME_CHARS for accuser in accusers)
     ):
         raise MessageError("a name, figure or text of a row out of bounds")
     try:
@@ -116,68 +116,68 @@
             figures_version,
             tuple(figures),
         )
-    except ValueError as problem:
-        raise MessageError(str(problem)) from None
+    except ValueError as error:
+        raise MessageError(str(error)) from None
 
 
 class Codec:
-    """Of one group; `mark` is what its members share and others do not know."""
+    """Encodes and decodes messages of one group; `mark` is the secret that its members share."""
 
     def __init__(self, group: str, mark: str):
         self.key = hashlib.blake2b(f"{group}\0{mark}".encode(), digest_size=32).digest()
 
-    def _sealed(self, data: bytes | memoryview) -> bytes:
-        return hashlib.blake2b(data, digest_size=SEAL, key=self.key).digest()
+    def _seal_of(self, data: bytes | memoryview) -> bytes:
+        return hashlib.blake2b(data, digest_size=SEAL_BYTES, key=self.key).digest()
 
     def encode(self, message: Message) -> bytes:
         data = _ENCODER.encode(
             _Wire(
                 KINDS.index(message.kind),
-                _row_out(message.sender),
+                _encode_row(message.sender),
                 *message.to,
                 message.number,
                 message.seat,
-                [_row_out(row) for row in message.rows],
+                [_encode_row(row) for row in message.rows],
                 list(message.marks),
                 list(message.buckets),
                 list(message.pass_on),
                 message.figure,
             )
         )
-        return self._sealed(data) + data
+        return self._seal_of(data) + data
 
     def decode(self, data: bytes) -> Message:
         """Raises MessageError."""
-        if not SEAL < len(data) <= MAX_BYTES:
-            raise MessageError(f"expected {SEAL + 1} to {MAX_BYTES} bytes, got {len(data)}")
-        if not hmac.compare_digest(self._sealed(data[SEAL:]), data[:SEAL]):
+        if not SEAL_BYTES < len(data) <= MAX_BYTES:
+            raise MessageError(f"expected {SEAL_BYTES + 1} to {MAX_BYTES} bytes, got {len(data)}")
+        if not hmac.compare_digest(self._seal_of(data[SEAL_BYTES:]), data[:SEAL_BYTES]):
             raise MessageError("not of this group: another name or mark, or changed on the way")
         try:
-            found: Any = _DECODER.decode(data[SEAL:])
-        except (msgspec.DecodeError, RecursionError) as problem:
-            raise MessageError(f"expected a message: {problem}") from None
+            decoded: Any = _DECODER.decode(data[SEAL_BYTES:])
+        except (msgspec.DecodeError, RecursionError) as error:
+            raise MessageError(f"expected a message: {error}") from None
         if (
-            not 0 <= found.kind < len(KINDS)
-            or len(found.rows) > MAX_ROWS
-            or not 0 <= found.number < _LARGEST
-            or not 0 <= found.to_start <= _LARGEST
-            or len(found.marks) > 64
-            or len(found.buckets) > 64
-            or any(not 0 <= bucket < 64 for bucket in found.buckets)
-            or len(found.pass_on) > MOST_SEATS
-            or not math.isfinite(found.figure)
-            or any(max(map(len, seat)) > LONGEST_NAME for seat in (found.seat, *found.pass_on))
+            not 0 <= decoded.kind < len(KINDS)
+            or len(decoded.rows) > MAX_ROWS
+            or not 0 <= decoded.number < _MAX_INTEGER
+            or not 0 <= decoded.to_start <= _MAX_INTEGER
+            or len(decoded.marks) > 64
+            or len(decoded.buckets) > 64
+            or any(not 0 <= bucket < 64 for bucket in decoded.buckets)
+            or len(decoded.pass_on) > MAX_SEATS
+            or not math.isfinite(decoded.figure)
+            or any(max(map(len, seat)) > MAX_NAME_CHARS for seat in (decoded.seat, *decoded.pass_on))
         ):
             raise MessageError("a kind, number or list out of bounds")
         return Message(
-            KINDS[found.kind],
-            _row_in(found.sender),
-            (found.to_name, found.to_start),
-            found.number,
-            found.seat,
-            tuple(map(_row_in, found.rows)),
-            tuple(found.marks),
-            tuple(found.buckets),
-            tuple(found.pass_on),
-            found.figure,
+            KINDS[decoded.kind],
+            _decode_row(decoded.sender),
+            (decoded.to_name, decoded.to_start),
+            decoded.number,
+            decoded.seat,
+            tuple(map(_decode_row, decoded.rows)),
+            tuple(decoded.marks),
+            tuple(decoded.buckets),
+            tuple(decoded.pass_on),
+            decoded.figure,
         )
--- a/sprucespool/membership/messages.py
+++ b/sprucespool/membership/messages.py
@@ -1,4 +1,4 @@
-"""What members say to each other, and what a view tells its users. Plain data; times are float milliseconds."""
+"""Messages between members and events for the users of the view. Plain data; times are float milliseconds."""
 
 from __future__ import annotations
 
@@ -6,20 +6,21 @@
 
 from sprucespool.membership.rows import Row, Seat
 
-# ping, ack, nack (a helper's word that it tried), ask (check `seat` for me), join, digest (marks of all buckets), rows
-# (all of mine in `buckets`; answer with what you have beyond), extra (that answer), urgent (news to be passed on to
-# `pass_on` at once), moved (who you look for is not here: I am), lend, lent, freed (see shares).
+# ping, ack, nack (a helper tried and got no answer yet), ask (a request to check `seat` for the sender), join, digest
+# (the marks of all buckets), rows (all rows of the sender in `buckets`; the receiver answers with its newer ones),
+# extra (that answer), urgent (an update to be forwarded to `pass_on` at once), moved (another member now has this
+# address), lend, lent, freed (see shares.py). The order is encoded.
 KINDS = ("ping", "ack", "nack", "ask", "join", "digest", "rows", "extra", "urgent", "moved", "lend", "lent", "freed")
 
 
-# Events after which others are there than before, or not for sure.
+# Kinds of events that change which members are present, or whether they surely are.
 PRESENCE_KINDS = ("joined", "left", "died", "restarted", "suspected", "cleared")
 
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """`sender` is the sender's own row. `to`: name and start of whom it is meant for, start 0 for whoever has the
-    name, no name for whoever is there. `number` joins an answer to its question."""
+    """`sender` is the sender's own row. `to`: name and start of the addressed process; start 0 stands for any process
+    of that name, an empty name for any process at the address. `number` matches an answer to its request."""
 
     kind: str
     sender: Row
@@ -35,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outgoing:
-    """Send `message` to the address `to`. Nobody waits for it to arrive."""
+    """Send `message` to the address `to`, without waiting for delivery."""
 
     to: str
     message: Message
@@ -43,8 +44,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """`kind`: joined, suspected, cleared, died, left, restarted, changed; and of this member itself or of others'
-    conduct: isolated, answered, stalled, renumbered, twin, distrusted, refused. `epoch` numbers the events."""
+    """`kind` is joined, suspected, cleared, died, left, restarted or changed; about this member itself or about invalid
+    reports of others also isolated, answered, stalled, renumbered, twin, distrusted and refused. `epoch` numbers the
+    events."""
 
     kind: str
     at: float
@@ -56,6 +58,8 @@
 
 @dataclass(slots=True)
 class Tally:
+    """Counters that the view shows."""
+
     said: int = 0
     heard: int = 0
     suspected: int = 0
--- a/sprucespool/membership/rows.py
+++ b/sprucespool/membership/rows.py
@@ -1,8 +1,9 @@
-"""What is told of a member, and how two tellings become one. Pure data and one merge.
+"""The row that describes a member, and the merge of two rows. Plain data, no I/O.
 
-A row belongs to a seat (name and address); `start` names the process on it. Within a process three parts are joined
-each by itself: life by (left, incarnation, state), what the owner tells of itself by version, its figures by beat. So
-the merge is a join: order, grouping and repeats of news do not matter (`tests/test_membership.py` proves the laws).
+A row belongs to a seat (name and address); `start` identifies the process on it. Within a process three parts merge
+independently: liveness by (left, incarnation, state), the owner's description of itself by version, its figures by
+`figures_version`. So the merge is a join: the order, grouping and repetition of updates do not matter
+(`tests/test_membership.py` checks the laws).
 """
 
 from __future__ import annotations
@@ -32,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class About:
-    """What a member tells of itself."""
+    """A member's description of itself. `of`: how many controllers there are in all, by its settings."""
 
     region: str = ""
     zone: str = ""
@@ -44,9 +45,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """`seal`: a hash of a secret of the process; in LEFT the secret itself, so that nobody else can say it left.
-    `accusers`: who says that it is silent, a few of them. `figures`: its load and capacity, a few floats whose meaning
-    is its users', numbered by the owner (`beat`); no mark counts them, as views would else never be equal for long."""
+    """`seal`: a hash of a secret of the process; in state LEFT the secret itself, so that only the owner can announce
+    its leave. `accusers`: a few of the members that report it as silent. `figures`: its load and capacity, a few
+    floats whose meaning is defined by the users of the group, numbered by the owner (`figures_version`). No mark
+    covers the figures, as views would otherwise never be equal for long."""
 
     name: str
     address: str
@@ -73,46 +75,47 @@
         return self.state is State.ALIVE or self.state is State.SUSPECT
 
 
-def sealed(secret: bytes) -> bytes:
+def seal_of(secret: bytes) -> bytes:
     return hashlib.blake2b(secret, digest_size=8).digest()
 
 
 def merge(one: Row, other: Row) -> Row:
-    """The join of two rows of one seat."""
+    """The join of two rows of the same seat."""
     if one.start != other.start:
         return one if one.start > other.start else other
     if one == other:
         return one
-    told = one if (one.version, _content(one)) >= (other.version, _content(other)) else other
-    life, less = (one, other) if (one.liveness, one.seal) >= (other.liveness, other.seal) else (other, one)
-    accusers = life.accusers
-    if life.liveness == less.liveness:
+    newer_about = one if (one.version, _about_fields(one)) >= (other.version, _about_fields(other)) else other
+    higher, lower = (one, other) if (one.liveness, one.seal) >= (other.liveness, other.seal) else (other, one)
+    accusers = higher.accusers
+    if higher.liveness == lower.liveness:
         accusers = tuple(sorted({*one.accusers, *other.accusers})[:MAX_ACCUSERS])
     figures_version, figures = max((one.figures_version, one.figures), (other.figures_version, other.figures))
     return replace(
-        told,
-        incarnation=life.incarnation,
-        state=life.state,
-        seal=life.seal,
+        newer_about,
+        incarnation=higher.incarnation,
+        state=higher.state,
+        seal=higher.seal,
         accusers=accusers,
         figures_version=figures_version,
         figures=figures,
     )
 
 
-def _content(row: Row) -> tuple:
+def _about_fields(row: Row) -> tuple:
     about = row.about
     return about.region, about.zone, about.number, about.of, about.build, about.phase
 
 
 def mark(row: Row) -> int:
-    """64 bits of what two members must hold alike: process, death, version. Suspicions come and go and are left out."""
-    gone = int(row.state) if not row.present else 0
-    text = f"{row.name}\0{row.address}\0{row.start}\0{row.incarnation}\0{gone}\0{row.version}"
+    """64-bit hash of what two members must agree on: process, end, version. Suspicions are left out, as they are
+    short-lived."""
+    final_state = int(row.state) if not row.present else 0
+    text = f"{row.name}\0{row.address}\0{row.start}\0{row.incarnation}\0{final_state}\0{row.version}"
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
-def seen_mark(row: Row) -> int:
-    """64 bits of what users of the view see: which processes are there, and what they tell."""
+def visible_mark(row: Row) -> int:
+    """64-bit hash of what users of the view see: which processes are present, and their description of themselves."""
     text = f"{row.name}\0{row.address}\0{row.start}\0{row.version}"
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest(), "big")
--- a/sprucespool/membership/shares.py
+++ b/sprucespool/membership/shares.py
@@ -1,18 +1,18 @@
-"""One controller's part of what all divide: quotas of tenants, allowances of cold invokers. No I/O, no clock.
+"""One controller's share of common quotas: quotas of tenants, allowances of cold invokers. No I/O, no clock.
 
-The whole is cut into `of` slots, one for each number of a controller. A slot is used by the process that has its number
-and by nobody else, but for loans: a process that leaves, and will send nothing more, lends its slot to some that ask,
-for `loan` ms. Why the sum of all parts never exceeds the whole, whatever is lost, late, cut or started anew:
+The total is divided into `of` slots, one for each controller number. Only the process with that number uses a slot,
+except for loans: a process that leaves and will send nothing more lends its slot to some of those that request it, for
+`loan` ms. The sum of all shares never exceeds the total, even with lost or late messages, partitions and restarts:
 
-- A loan is counted by its borrower from the moment at which it asked, which lies before the lender granted it. So every
-  loan of a slot has ended `loan` after its lender ended, whichever way the clocks are set; only their rates must agree
-  (`drift`).
-- A process uses its slot only `loan` after its own start, which lies after its predecessor's end, or sooner when all
-  other numbers have told it that they hold nothing of it and never will again.
-- A borrower gives the loan up at once when it hears of a new process of that number.
+- A borrower counts a loan from the time of its request, which is before the lender granted it. So every loan of a slot
+  has expired `loan` ms after its lender ended, however the clocks are set; only their rates must agree (`drift`).
+- A process uses its slot only `loan` ms after its own start, which is after its predecessor's end, or earlier once all
+  other numbers have confirmed that they hold no loan of it and never will again.
+- A borrower gives up a loan at once when it learns of a new process of that number.
 
-It stands on what operators keep: a controller of a number starts after the one before it has ended, and all agree on
-`of`. Where members tell a larger `of`, or two tell one number, a part shrinks at once; that is a net, no proof.
+This relies on two rules for operators: a controller of a number starts only after the previous one has ended, and all
+agree on `of`. If members report a larger `of`, or two report the same number, a share shrinks at once. That limits the
+damage but does not guarantee the sum.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, eq=False)
 class Shares:
-    """`number` of `of`; times in ms of the owner's clock."""
+    """The share of controller `number` of `of`. Times are in ms of the owner's clock."""
 
     number: int
     of: int
@@ -42,7 +42,7 @@
     started_at: float = math.nan
     ready: bool = False
     closed: bool = False
-    # Of other numbers: which process holds nothing of this one's slot; the newest process heard of.
+    # Numbers that confirmed that they hold no loan of this slot, and the start of the newest known process by number.
     freed: set[int] = field(default_factory=set)
     newest_starts: dict[int, int] = field(default_factory=dict)
     borrowed: dict[int, Loan] = field(default_factory=dict)
@@ -63,17 +63,17 @@
             if now >= loan.expires_at:
                 del self.borrowed[number]
 
-    # What is asked
+    # Requests
 
     def unconfirmed_numbers(self, present: set[int]) -> set[int]:
-        """Numbers among those present that have yet to say that they hold nothing of this slot. Hundreds are not
-        asked: with so many a part is small, and the wait for it short beside the storm."""
+        """Numbers among those present that have yet to confirm that they hold no loan of this slot. None if more than
+        `MAX_UNCONFIRMED` are missing: a share is then small, and the wait costs less than the burst of messages."""
         if self.ready or self.of - 1 - len(self.freed) > MAX_UNCONFIRMED:
             return set()
         return present - self.freed - {self.number}
 
     def may_borrow(self, now: float, number: int, start: int, of: int, request: int) -> bool:
-        """Whether to ask the leaver for a loan, with the number `asks`; the loan counts from now."""
+        """Whether to request a loan from the leaving member, with the number `request`; the loan counts from now."""
         if (
             self.closed
             or not self.ready
@@ -84,18 +84,18 @@
             or self.newest_starts.get(number, start) > start
         ):
             return False
-        for old, (at, _, _) in list(self.requested.items()):
+        for expired, (at, _, _) in list(self.requested.items()):
             if now - at >= self.loan:
-                del self.requested[old]
+                del self.requested[expired]
         self.requested[request] = now, number, start
         return True
 
-    # What is answered
+    # Answers
 
-    def grant_loan(self, live: int) -> float:
-        """The part of the slot that one who asks may have: only when nothing more will be sent from here."""
-        heirs = min(MAX_BORROWERS, max(1, live - 1))
-        share = 1.0 / heirs
+    def grant_loan(self, members: int) -> float:
+        """The fraction of the slot lent to one requester; 0 unless this process will send nothing more."""
+        borrowers = min(MAX_BORROWERS, max(1, members - 1))
+        share = 1.0 / borrowers
         if not self.closed or not self.ready or self.granted + share > 1.0 + 1e-9:
             return 0.0
         self.granted += share
@@ -103,19 +103,19 @@
 
     @property
     def all_lent(self) -> bool:
-        """Whether nothing of the slot is left to lend."""
+        """Whether nothing of the slot remains to be lent."""
         return not self.ready or self.loan <= 0 or self.granted > 1.0 - 1e-9
 
     def accept_loan(self, now: float, request: int, number: int, start: int, share: float) -> None:
-        asked = self.requested.pop(request, None)
-        if asked is None or asked[1:] != (number, start) or not 0 < share <= 1 or self.closed:
+        requested = self.requested.pop(request, None)
+        if requested is None or requested[1:] != (number, start) or not 0 < share <= 1 or self.closed:
             return
-        until = asked[0] + self.loan
+        until = requested[0] + self.loan
         if now < until and self.newest_starts.get(number, start) <= start:
             self.borrowed[number] = Loan(start, share, until)
 
     def release(self, number: int, start: int) -> None:
-        """The process `start` of `number` asks whether anything of its slot is held here: from now on nothing is."""
+        """Drop any loan of the slot of `number`: its process `start` asks for confirmation that none is held."""
         self.note_process(number, start)
 
     def confirm_freed(self, now: float, number: int) -> None:
@@ -124,7 +124,7 @@
             self._advance(now)
 
     def note_process(self, number: int, start: int) -> None:
-        """A process of that number is there."""
+        """Learn of a process of that number; a loan from an earlier process of the number ends."""
         if number != self.number and start > self.newest_starts.get(number, -1):
             self.newest_starts[number] = start
             loan = self.borrowed.get(number)
@@ -135,22 +135,23 @@
             }
 
     def close(self) -> None:
-        """Nothing is sent from here any more: whatever this process held it holds no longer."""
+        """This process will send nothing more, so it gives up its slot and its loans."""
         self.closed = True
         self.borrowed.clear()
 
-    # What it comes to
+    # Resulting share
 
-    def share(self, now: float, of: int = 0, alike: int = 1) -> float:
-        """Of the whole, 0 to 1. `of`: the largest told by a member; `alike`: processes that tell this one's number."""
+    def share(self, now: float, of: int = 0, same_number: int = 1) -> float:
+        """The share of the total, 0 to 1. `of`: the largest reported by a member; `same_number`: how many processes
+        report this number."""
         self._advance(now)
         if self.closed:
             return 0.0
-        slots = (1.0 if self.ready else 0.0) / max(1, alike) + sum(loan.share for loan in self.borrowed.values())
+        slots = (1.0 if self.ready else 0.0) / max(1, same_number) + sum(loan.share for loan in self.borrowed.values())
         return min(1.0, slots / max(self.of, of))
 
     def due(self, now: float) -> float:
-        """When the part changes by itself."""
+        """When the share next changes without a message."""
         times = [loan.expires_at for loan in self.borrowed.values()]
         if not self.ready and not math.isnan(self.started_at):
             times.append(self.started_at + self.loan * (1 + self.drift))
--- a/sprucespool/membership/suspicions.py
+++ b/sprucespool/membership/suspicions.py
@@ -1,5 +1,5 @@
-"""How long a silent member may still say otherwise: the more members find it silent, the shorter (Lifeguard, Dadgar,
-Phillips and Currey, DSN 2018, section IV.B). No I/O, no clock."""
+"""Timeouts of suspicions: how long a suspected member has to refute, shorter the more members accuse it (Lifeguard,
+Dadgar, Phillips and Currey, DSN 2018, section IV.B). No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -14,18 +14,19 @@
 class Suspicion:
     start: int
     incarnation: int
-    since: float
+    started_at: float
     accusers: set[str]
-    due: float = math.inf
-    # It was asked once more, at the end.
+    due_at: float = math.inf
+    # The member was checked once more after the timeout.
     rechecked: bool = False
 
 
 @dataclass(slots=True)
 class Suspicions:
-    """`least` and `most` ms of suspicion; `enough` accusers beyond the first bring it down to the least."""
+    """Open suspicions by seat. Each lasts `max_ms` with a single accuser and shrinks to `min_ms` once `confirmations`
+    more accusers confirm it."""
 
-    enough: int = 3
+    confirmations: int = 3
     active: dict[Seat, Suspicion] = field(default_factory=dict)
     _heap: list[tuple[float, Seat]] = field(default_factory=list)
 
@@ -36,51 +37,51 @@
         start: int,
         incarnation: int,
         accusers: set[str],
-        least: float,
-        most: float,
-        group: int,
+        min_ms: float,
+        max_ms: float,
+        members: int,
     ) -> None:
         found = self.active.get(seat)
         if found is None or (found.start, found.incarnation) != (start, incarnation):
             found = self.active[seat] = Suspicion(start, incarnation, now, set())
         found.accusers |= accusers
-        # In a group of three there is one other that could confirm, in a group of two none.
-        enough = min(self.enough, max(0, group - 2))
-        extra = min(len(found.accusers) - 1, enough)
-        part = math.log(extra + 1) / math.log(enough + 1) if enough else 1.0
-        due = found.since + max(least, most - (most - least) * part)
-        if due < found.due:
-            found.due = due
-            heapq.heappush(self._heap, (due, seat))
+        # In a group of three only one other member could confirm the suspicion, in a group of two none.
+        confirmations = min(self.confirmations, max(0, members - 2))
+        confirmed_by = min(len(found.accusers) - 1, confirmations)
+        fraction = math.log(confirmed_by + 1) / math.log(confirmations + 1) if confirmations else 1.0
+        due_at = found.started_at + max(min_ms, max_ms - (max_ms - min_ms) * fraction)
+        if due_at < found.due_at:
+            found.due_at = due_at
+            heapq.heappush(self._heap, (due_at, seat))
 
     def clear(self, seat: Seat) -> None:
         self.active.pop(seat, None)
 
-    def shift(self, by: float) -> None:
-        """Time in which this member was held still itself counts against nobody."""
+    def shift(self, ms: float) -> None:
+        """Postpone all deadlines: time in which this process itself was suspended must not count against others."""
         for found in self.active.values():
-            found.since += by
-            found.due += by
-        self._heap = [(found.due, seat) for seat, found in self.active.items()]
+            found.started_at += ms
+            found.due_at += ms
+        self._heap = [(found.due_at, seat) for seat, found in self.active.items()]
         heapq.heapify(self._heap)
 
     def next_due(self) -> float:
         while self._heap:
-            due, seat = self._heap[0]
+            due_at, seat = self._heap[0]
             found = self.active.get(seat)
-            if found is not None and found.due == due:
-                return due
+            if found is not None and found.due_at == due_at:
+                return due_at
             heapq.heappop(self._heap)
         return math.inf
 
     def expired(self, now: float) -> list[tuple[Seat, Suspicion]]:
-        done = []
+        due_now = []
         while self.next_due() <= now:
             _, seat = heapq.heappop(self._heap)
-            done.append((seat, self.active.pop(seat)))
-        return done
+            due_now.append((seat, self.active.pop(seat)))
+        return due_now
 
-    def recheck_at(self, seat: Seat, doubt: Suspicion, due: float) -> None:
-        doubt.rechecked, doubt.due = True, due
-        self.active[seat] = doubt
-        heapq.heappush(self._heap, (due, seat))
+    def recheck_at(self, seat: Seat, suspicion: Suspicion, due_at: float) -> None:
+        suspicion.rechecked, suspicion.due_at = True, due_at
+        self.active[seat] = suspicion
+        heapq.heappush(self._heap, (due_at, seat))
