--- a/tests/test_group_model.py
+++ b/tests/test_group_model.py
@@ -1,4 +1,4 @@
-"""Every order of what may happen to a few members, on the objects that run; each rule taken out is found."""
+"""Exhaustive exploration of event orders for a few members, on the production classes; removed rules are detected."""
 
 from dataclasses import replace
 
@@ -15,20 +15,20 @@
 from sprucespool.standin.views import Clinging, Deaf
 
 
-def test_members_told_in_any_order_never_go_back_and_come_to_see_the_same():
+def test_updates_in_any_order_never_regress_and_converge():
     found = explore(of_kind(GroupWorld), 4)
     assert found.whole and found.states > 5_000 and found.wrong == "", found
 
 
 @pytest.mark.parametrize(("of", "depth", "least"), [(2, 8, 100_000), (3, 5, 40_000)])
-def test_parts_never_exceed_the_whole_in_any_order_of_leaving_starting_lending_and_losing(of, depth, least):
+def test_shares_never_exceed_the_total_in_any_order_of_leaves_starts_loans_and_losses(of, depth, least):
     found = explore(of_kind(SharesWorld, of=of), depth)
     assert found.whole and found.states > least and found.wrong == "", found
 
 
 @settings(max_examples=150, deadline=None, derandomize=True, database=None)
 @given(st.integers(2, 4), st.lists(st.integers(0, 10_000), max_size=30))
-def test_long_ways_of_chance_come_to_nothing_wrong_either(members, picks):
+def test_long_random_paths_of_the_group_find_no_violation(members, picks):
     world = GroupWorld(members, told=6)
     for pick in picks:
         moves = list(world.moves())
@@ -38,7 +38,7 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True, database=None)
 @given(st.integers(2, 4), st.lists(st.integers(0, 10_000), max_size=40))
-def test_parts_stay_within_the_whole_on_long_ways_of_chance(of, picks):
+def test_long_random_paths_of_shares_stay_within_the_total(of, picks):
     world = SharesWorld(of, steps=12)
     for pick in picks:
         moves = list(world.moves())
@@ -46,13 +46,13 @@
         assert world.wrong() == ""
 
 
-class Mute(Group):
+class NeverRefutes(Group):
     def _learn_about_self(self, now, row, reporter):
         return False
 
 
-class SameAgain(Group):
-    """Says that it lives without a higher incarnation."""
+class RefutesWithoutIncarnation(Group):
+    """Refutes without raising its incarnation."""
 
     def _learn_about_self(self, now, row, reporter):
         done = super()._learn_about_self(now, row, reporter)
@@ -60,8 +60,8 @@
         return done
 
 
-class Deadly(Group):
-    """Another's word of a death is a death, whoever lives to say otherwise, and its owner's word of life none."""
+class DeathIsFinal(Group):
+    """Takes a member held dead as dead for good, also if its owner refutes it."""
 
     def _learn(self, now, row, reporter):
         held = self.table.records.get(row.seat)
@@ -70,12 +70,12 @@
         return super()._learn(now, row, reporter)
 
 
-@pytest.mark.parametrize("kind", [Mute, SameAgain, Deadly])
-def test_a_member_that_refutes_wrongly_is_found(kind):
+@pytest.mark.parametrize("kind", [NeverRefutes, RefutesWithoutIncarnation, DeathIsFinal])
+def test_a_defect_in_refutation_is_found(kind):
     assert explore(of_kind(GroupWorld, kind=kind), 4).wrong
 
 
-def last_told(one: Row, other: Row) -> Row:
+def last_received(one: Row, other: Row) -> Row:
     return other
 
 
@@ -85,14 +85,14 @@
     )
 
 
-@pytest.mark.parametrize("rule", [last_told, by_incarnation_alone])
-def test_a_merge_that_is_no_join_is_found(rule, monkeypatch):
+@pytest.mark.parametrize("rule", [last_received, by_incarnation_alone])
+def test_a_merge_that_is_not_a_join_is_found(rule, monkeypatch):
     monkeypatch.setattr(member_table, "merge", rule)
     assert explore(of_kind(GroupWorld), 4).wrong
 
 
-class FromReceipt(Shares):
-    """Counts a loan from when it came."""
+class CountsFromReceipt(Shares):
+    """Counts a loan from its arrival instead of its request."""
 
     def accept_loan(self, now, request, number, start, share):
         if request in self.requested:
@@ -100,16 +100,16 @@
         super().accept_loan(now, request, number, start, share)
 
 
-class Hasty(Shares):
-    """Uses its slot at once."""
+class UsesSlotAtOnce(Shares):
+    """Uses its slot without waiting for old loans to expire."""
 
     def _advance(self, now):
         self.ready = True
         super()._advance(now)
 
 
-class Early(Shares):
-    """Lends before it has ended."""
+class LendsBeforeEnd(Shares):
+    """Lends its slot before it has stopped sending."""
 
     def grant_loan(self, live):
         closed, self.closed = self.closed, True
@@ -118,22 +118,22 @@
         return share
 
 
-class Keeper(Shares):
-    """Says that it holds nothing, and holds on."""
+class KeepsLoan(Shares):
+    """Confirms that it holds no loan, but keeps it."""
 
     def release(self, number, start):
         pass
 
 
-class Generous(Shares):
-    """Lends the whole slot to each."""
+class LendsAllToEach(Shares):
+    """Lends the whole slot to each requester."""
 
     def grant_loan(self, live):
         return 1.0 if self.closed else 0.0
 
 
-class Undying(Shares):
-    """Does not look at when a loan ends."""
+class NeverExpires(Shares):
+    """Never lets a loan expire."""
 
     def accept_loan(self, now, request, number, start, share):
         super().accept_loan(now, request, number, start, share)
@@ -142,32 +142,40 @@
 
 
 @pytest.mark.parametrize(
-    ("kind", "of"), [(FromReceipt, 2), (Hasty, 2), (Early, 3), (Keeper, 2), (Generous, 3), (Undying, 2)]
+    ("kind", "of"),
+    [
+        (CountsFromReceipt, 2),
+        (UsesSlotAtOnce, 2),
+        (LendsBeforeEnd, 3),
+        (KeepsLoan, 2),
+        (LendsAllToEach, 3),
+        (NeverExpires, 2),
+    ],
 )
-def test_a_holder_of_parts_without_one_rule_is_found(kind, of):
-    def begun():
+def test_a_missing_rule_of_shares_is_found(kind, of):
+    def started_world():
         world = SharesWorld(of, kind)
-        for other in range(1, of) if kind is Generous else ():
-            # Two that ask lie deep: the search begins where they have.
+        for other in range(1, of) if kind is LendsAllToEach else ():
+            # Two requests are deep in the search, so it starts after them.
             for move in ((("close", 0),) if other == 1 else ()) + (("ask", other, 0),):
                 world.play(move)
         return world
 
-    found = explore(begun, 9, most=400_000)
+    found = explore(started_world, 9, most=400_000)
     assert found.wrong, found
 
 
 # The fleet's view
 
 
-def test_a_process_told_to_be_over_is_never_used_again_whatever_comes_in_which_order():
+def test_a_process_reported_as_ended_is_never_used_again_in_any_order():
     found = explore(lambda: ViewWorld(2), 6)
     assert found.whole and found.states > 2_000 and found.wrong == "", found
 
 
 @settings(max_examples=150, deadline=None, derandomize=True, database=None)
 @given(st.integers(2, 4), st.lists(st.integers(0, 10_000), max_size=30))
-def test_the_view_on_long_ways_of_chance(controllers, picks):
+def test_long_random_paths_of_the_view_find_no_violation(controllers, picks):
     world = ViewWorld(controllers, told=5)
     for pick in picks:
         moves = list(world.moves())
@@ -175,8 +183,8 @@
         assert world.wrong() == ""
 
 
-class TakesBack(Fleet):
-    """A roster's row in service takes an earlier word back."""
+class RevokesReports(Fleet):
+    """A roster row in service revokes an earlier report."""
 
     def _row(self, row, version, back):
         super()._row(row, version, back)
@@ -186,8 +194,8 @@
             self._settle(row.process[0])
 
 
-class OldWins(Fleet):
-    """An old copy of a roster names who stands there."""
+class OldRosterWins(Fleet):
+    """An old copy of a roster decides which process is at an address."""
 
     def _row(self, row, version, back):
         super()._row(row, version, False)
@@ -196,13 +204,13 @@
                 self._say_word(record.process, Word(records.Course.GONE, version, self.source))
 
 
-@pytest.mark.parametrize("kind", [Deaf, Clinging, TakesBack, OldWins])
+@pytest.mark.parametrize("kind", [Deaf, Clinging, RevokesReports, OldRosterWins])
 def test_a_defect_in_the_rules_of_the_view_is_found(kind):
     found = explore(lambda: ViewWorld(2, kind), 6)
     assert found.wrong and len(found.way) <= 6, found
 
 
-def test_a_join_that_goes_by_who_comes_last_is_found(monkeypatch):
+def test_a_merge_where_the_last_one_wins_is_found(monkeypatch):
     def last(one, other):
         return replace(other, words={**one.words, **other.words}, listings={**one.listings, **other.listings})
 
--- a/tests/test_group_sockets.py
+++ b/tests/test_group_sockets.py
@@ -1,4 +1,4 @@
-"""The group over sockets: processes of `sprucespool serve`, faults between them, judged from the views they tell."""
+"""Group membership over sockets: processes of `sprucespool serve` with faults between them, judged by their views."""
 
 import asyncio
 import json
@@ -18,22 +18,22 @@
 pytestmark = pytest.mark.sockets
 
 SILENT = LinkState(cut="silent")
-# Generous: a machine loaded threefold shall come to the same verdict.
+# Wide bounds, so that a machine under threefold load gets the same verdict.
 BOUNDS = seen.Bounds(alike_within=30_000.0, cleared_within=40_000.0, dead_within=60_000.0)
-LONG = 120.0
+LONG_SECONDS = 120.0
 
 
-def seen_place(number):
+def place_of(number):
     return Place(number, number + 1, "z1")
 
 
 def played(folder, script, count=8, of=0, **over):
-    """Run `script(rig, names)` on a started group and give its verdict."""
+    """Run `script(rig, names)` on a started group and return its verdict."""
 
     async def play():
         async with Rig(folder, **over) as rig:
             names = await rig.start_all(count, zones=2 if count < 8 else 3, of=of)
-            assert await rig.until(rig.alike, LONG) is not None, "the group did not find itself"
+            assert await rig.until(rig.alike, LONG_SECONDS) is not None, "the members did not find each other"
             await script(rig, names)
             verdict = rig.verdict(BOUNDS)
             assert verdict.views > 2 * count
@@ -42,15 +42,15 @@
     return asyncio.run(play())
 
 
-def test_three_parts_with_comings_and_goings_on_each_side_become_one_again(tmp_path):
+def test_three_partitions_with_members_ending_on_each_side_merge_again(tmp_path):
     async def script(rig, names):
         sides = [names[n::3] for n in range(3)]
         rig.part(sides)
         rig.kill(sides[0].pop())
         assert await rig.leave(sides[1].pop()) == 0
-        assert await rig.until(lambda: all(rig.alike(side) for side in sides), LONG) is not None
+        assert await rig.until(lambda: all(rig.alike(side) for side in sides), LONG_SECONDS) is not None
         rig.heal()
-        assert await rig.until(rig.alike, LONG) is not None
+        assert await rig.until(rig.alike, LONG_SECONDS) is not None
         await asyncio.sleep(0.5)
         assert rig.alike()
 
@@ -58,35 +58,35 @@
     assert verdict.broken == [] and verdict.settled is not None
 
 
-def test_a_third_killed_at_once_then_started_anew_in_place(tmp_path):
+def test_a_third_killed_at_once_then_restarted_in_place(tmp_path):
     async def script(rig, names):
         for name in names[::3]:
             rig.kill(name)
-        assert await rig.until(lambda: all(rig.holds_gone(name) for name in names[::3]), LONG) is not None
+        assert await rig.until(lambda: all(rig.holds_gone(name) for name in names[::3]), LONG_SECONDS) is not None
         await asyncio.gather(*(rig.start(name) for name in names[::3]))
-        assert await rig.until(rig.alike, LONG) is not None
+        assert await rig.until(rig.alike, LONG_SECONDS) is not None
 
     assert played(tmp_path, script, 9).broken == []
 
 
-def test_a_zone_stopped_is_let_go_and_comes_back(tmp_path):
+def test_a_suspended_zone_comes_back(tmp_path):
     async def script(rig, names):
         zone = [name for name in names if rig.places[name].zone == "z1"]
         rig.hold(zone)
         others = [name for name in names if name not in zone]
         await rig.until(lambda: rig.alike(others), 10.0)
         rig.let_go(zone)
-        assert await rig.until(rig.alike, LONG) is not None
+        assert await rig.until(rig.alike, LONG_SECONDS) is not None
 
     assert played(tmp_path, script).broken == []
 
 
-def test_all_restarted_in_turn_and_each_leave_known_without_suspicion(tmp_path):
+def test_all_restarted_in_turn_with_each_leave_known_and_no_death(tmp_path):
     async def script(rig, names):
         for name in names:
             assert await rig.leave(name) == 0
             await rig.start(name)
-        assert await rig.until(rig.alike, LONG) is not None
+        assert await rig.until(rig.alike, LONG_SECONDS) is not None
         logs = "".join((rig.folder / f"{name}.log").read_text() for name in names)
         kinds = [json.loads(line)["kind"] for line in logs.splitlines() if '"event":"member"' in line]
         assert "died" not in kinds and kinds.count("restarted") + kinds.count("left") >= len(names)
@@ -94,22 +94,22 @@
     assert played(tmp_path, script, 6).broken == []
 
 
-def test_all_started_anew_at_once_with_seeds_of_which_one_is_good(tmp_path):
+def test_all_restarted_at_once_with_one_good_seed(tmp_path):
     async def script(rig, names):
         for name in names:
             rig.kill(name)
-        # A wrong one, one that stays dead, a good one.
+        # A wrong seed, one that stays dead, and a good one.
         seeds = ["127.0.0.1:1", rig.relays.relays[names[0]].address, rig.relays.relays[names[1]].address]
         await asyncio.gather(*(rig.start(name, seeds=seeds) for name in names[1:]))
-        assert await rig.until(rig.alike, LONG) is not None
+        assert await rig.until(rig.alike, LONG_SECONDS) is not None
 
     assert played(tmp_path, script, 6).broken == []
 
 
-def test_a_liar_is_named_and_kills_nobody(tmp_path):
+def test_a_liar_is_distrusted_and_declares_nobody_dead(tmp_path):
     async def script(rig, names):
         rig.deciders["liar"] = "group-liar"
-        await rig.start("liar", seen_place(len(names)))
+        await rig.start("liar", place_of(len(names)))
         assert (
             await rig.until(
                 lambda: any(
@@ -117,19 +117,19 @@
                     and "an incarnation that leaps" in (rig.folder / f"{name}.log").read_text()
                     for name in names
                 ),
-                LONG,
+                LONG_SECONDS,
             )
             is not None
         )
         rig.kill("liar")
-        assert await rig.until(rig.alike, LONG) is not None
+        assert await rig.until(rig.alike, LONG_SECONDS) is not None
 
     verdict = played(tmp_path, script, 8, of=9)
     assert verdict.broken == []
 
 
 @pytest.mark.parametrize("what", ["deaf", "mute", "flap", "mixed", "slow"])
-def test_bad_links_end_and_all_see_the_same(tmp_path, what):
+def test_views_converge_after_bad_links(tmp_path, what):
     async def script(rig, names):
         if what == "deaf":
             rig.fault("cut", None, [names[3]], SILENT, both=False)
@@ -153,13 +153,13 @@
                 rig.heal()
             await asyncio.sleep(0.7)
         rig.heal()
-        assert await rig.until(rig.alike, LONG) is not None
+        assert await rig.until(rig.alike, LONG_SECONDS) is not None
 
     verdict = played(tmp_path, script)
     assert verdict.broken == []
 
 
-def test_strangers_and_garbage_change_nothing(tmp_path):
+def test_messages_of_other_groups_and_garbage_change_nothing(tmp_path):
     from sprucespool.grpc.status import Limits
     from sprucespool.membership import Codec, Message, Row
     from sprucespool.transport.plan import PoolLimits
@@ -196,8 +196,8 @@
     assert played(tmp_path, script, 3).broken == []
 
 
-def test_old_messages_sent_again_and_two_thousand_names_gone_by_change_no_view(tmp_path):
-    """From one that knows the mark: words of a member's earlier life, and names that came and went."""
+def test_replayed_messages_and_two_thousand_ended_names_change_no_view(tmp_path):
+    """From a sender that knows the mark: messages of a member's earlier process, and rows of ended members."""
     from sprucespool.grpc.status import Limits
     from sprucespool.membership import About, Codec, Message, Row, State
     from sprucespool.membership.codec import MAX_ROWS
@@ -225,7 +225,7 @@
 
         old = await fetch("{}:{}".format(*rig.relays.relays[names[2]].target))
         line = next(line for line in old.members if line.name == names[2])
-        was = Row(
+        old_row = Row(
             line.name,
             line.address,
             line.start,
@@ -234,28 +234,30 @@
             about=About(line.region, line.zone, line.number, line.of, line.build),
         )
         assert await rig.leave(names[2]) == 0
-        assert await rig.until(lambda: rig.holds_gone(names[2]), LONG) is not None
+        assert await rig.until(lambda: rig.holds_gone(names[2]), LONG_SECONDS) is not None
         await rig.start(names[2])
-        assert await rig.until(rig.alike, LONG) is not None
+        assert await rig.until(rig.alike, LONG_SECONDS) is not None
         before = rig.watch.newest[names[0]].digest
-        await say(Message("ping", was, (names[0], 0), 7), Message("ack", was, number=1), Message("digest", was))
+        await say(
+            Message("ping", old_row, (names[0], 0), 7), Message("ack", old_row, number=1), Message("digest", old_row)
+        )
         made_up = [Row(f"x{n}", f"127.0.0.1:{n + 1}", 5, state=State.DEAD, about=About("r", "z")) for n in range(2_000)]
         for n in range(0, 2_000, MAX_ROWS // 2):
-            await say(Message("extra", was, rows=tuple(made_up[n : n + MAX_ROWS // 2])))
+            await say(Message("extra", old_row, rows=tuple(made_up[n : n + MAX_ROWS // 2])))
         assert all(end.status.name == "OK" for end in ends)
         await asyncio.sleep(2.0)
         view = await fetch("{}:{}".format(*rig.relays.relays[names[0]].target))
         assert view.digest == before and len(view.gone) <= 1_024 + 8
         told = (rig.folder / f"{names[0]}.log").read_text()
-        assert '"x1999"' not in told, "who was never there has no event"
+        assert '"x1999"' not in told, "a member that was never present has no event"
         await rig.leave(names[1])
-        assert await rig.until(lambda: rig.holds_gone(names[1]) and rig.alike(), LONG) is not None
+        assert await rig.until(lambda: rig.holds_gone(names[1]) and rig.alike(), LONG_SECONDS) is not None
         pool.close()
 
     assert played(tmp_path, script, 4).broken == []
 
 
-def test_the_command_shows_the_view_and_in_which_rows_two_differ(tmp_path):
+def test_the_members_command_shows_a_view_and_the_rows_in_which_two_differ(tmp_path):
     async def script(rig, names):
         def command(*words):
             return subprocess.run(
@@ -265,41 +267,41 @@
                 timeout=60,
             )
 
-        where = ["{}:{}".format(*rig.relays.relays[name].target) for name in names]
+        addresses = ["{}:{}".format(*rig.relays.relays[name].target) for name in names]
         loop = asyncio.get_running_loop()
-        shown = await loop.run_in_executor(None, command, where[0])
+        shown = await loop.run_in_executor(None, command, addresses[0])
         assert shown.returncode == 0 and all(name in shown.stdout for name in names)
-        told = await loop.run_in_executor(None, command, "--json", where[0])
+        told = await loop.run_in_executor(None, command, "--json", addresses[0])
         assert json.loads(told.stdout)["live"] == len(names)
-        same = await loop.run_in_executor(None, command, "--compare", *where)
+        same = await loop.run_in_executor(None, command, "--compare", *addresses)
         assert same.returncode == 0 and "see the same" in same.stdout
         rig.part([names[:2], names[2:]])
-        assert await rig.until(lambda: rig.alike(names[:2]) and rig.alike(names[2:]), LONG) is not None
-        views = [await fetch(one) for one in where]
+        assert await rig.until(lambda: rig.alike(names[:2]) and rig.alike(names[2:]), LONG_SECONDS) is not None
+        views = [await fetch(one) for one in addresses]
         assert any(line.startswith("c0 at") for line in differences(views))
-        differ = await loop.run_in_executor(None, command, "--compare", where[0], where[-1])
+        differ = await loop.run_in_executor(None, command, "--compare", addresses[0], addresses[-1])
         assert differ.returncode == 1 and "c0 at" in differ.stdout
         nobody = await loop.run_in_executor(None, command, "127.0.0.1:1")
         assert nobody.returncode == 3 and "127.0.0.1:1" in nobody.stderr
         rig.heal()
-        assert await rig.until(rig.alike, LONG) is not None
+        assert await rig.until(rig.alike, LONG_SECONDS) is not None
 
     assert played(tmp_path, script, 4).broken == []
 
 
-# Each invariant by a build that breaks it
+# Each invariant is checked with a build that breaks it
 
 
-async def halved(rig, names):
+async def partitioned(rig, names):
     sides = [names[::2], names[1::2]]
     rig.part(sides)
-    # A broken build need not come to see even this.
+    # A broken build may not converge even to this.
     await rig.until(lambda: all(rig.alike(side) for side in sides), 30.0)
     await asyncio.sleep(2)
 
 
-async def parted(rig, names):
-    await halved(rig, names)
+async def partitioned_and_healed(rig, names):
+    await partitioned(rig, names)
     rig.heal()
     await asyncio.sleep(BROKEN.alike_within / 1000 + 2)
 
@@ -315,12 +317,19 @@
 
 
 async def waited(rig, names):
-    # As long as it takes on a machine that is loaded.
+    # Wait longer on a loaded machine.
     await rig.until(lambda: any(one.which == "d" for one in rig.verdict(BROKEN).broken), 40.0)
 
 
 BROKEN = seen.Bounds(alike_within=12_000.0, cleared_within=8_000.0, dead_within=20_000.0)
-CASES = {"a": parted, "b": parted, "c": killed, "d": waited, "e": left, "f": halved}
+CASES = {
+    "a": partitioned_and_healed,
+    "b": partitioned_and_healed,
+    "c": killed,
+    "d": waited,
+    "e": left,
+    "f": partitioned,
+}
 
 
 @pytest.fixture(scope="module")
@@ -330,11 +339,11 @@
             folder = tmp_path_factory.mktemp(f"broken-{which}")
             async with Rig(folder, decider=f"group-{which}", loan=0.0) as rig:
                 names = await rig.start_all(6, zones=2)
-                await rig.until(rig.alike, LONG)
+                await rig.until(rig.alike, LONG_SECONDS)
                 await CASES[which](rig, names)
                 return rig.verdict(BROKEN)
 
-        # A broken build may come through by luck (seen: group-a, views equal 6.6 s after the heal): three plays.
+        # A broken build may pass by chance (group-a did, with equal views 6.6 s after the heal), so up to three runs.
         for _ in range(3):
             verdict = asyncio.run(play())
             if which in {one.which for one in verdict.broken}:
@@ -346,12 +355,12 @@
 
 
 @pytest.mark.parametrize("which", CASES)
-def test_a_build_without_what_an_invariant_rests_on_is_told(broken, which):
+def test_a_build_that_breaks_an_invariant_is_detected(broken, which):
     assert which in {one.which for one in broken[which].broken}
 
 
-def test_without_a_group_node_and_on_the_operators_platform_nothing_is_said(tmp_path):
-    """What the platform's door loads has no way to talk to another controller; the gRPC door has no such method."""
+def test_without_a_group_setting_and_on_the_platform_no_member_messages_exist(tmp_path):
+    """The platform's server process loads no membership code; without the setting the gRPC server lacks the method."""
     loaded = subprocess.run(
         [sys.executable, "-c", "import sprucespool.node.serve, sys; print(*sys.modules)"],
         capture_output=True,
@@ -374,30 +383,30 @@
         )
         alone = Process([sys.executable, "-m", "sprucespool.cli.main", "serve", str(path)], tmp_path / "alone.err")
         rig.all.append(alone)
-        where = (await alone.started()).removeprefix("listening on ")
+        address = (await alone.started()).removeprefix("listening on ")
         with pytest.raises(Unreachable, match="UNIMPLEMENTED"):
-            await fetch(where)
+            await fetch(address)
         assert rig.watch.newest[names[0]].digest == before and (host, port)
 
     assert played(tmp_path, script, 3).broken == []
 
 
-def test_the_part_of_one_that_left_is_lent_for_a_while_and_never_more_than_the_whole(tmp_path):
+def test_the_share_of_a_member_that_left_is_lent_and_never_more_than_the_total(tmp_path):
     async def script(rig, names):
         whole = [1 / 3] * 3
 
-        def parts():
+        def shares():
             return [rig.watch.newest[name].part for name in names if name in rig.watch.newest]
 
-        assert await rig.until(lambda: parts() == whole, LONG) is not None
+        assert await rig.until(lambda: shares() == whole, LONG_SECONDS) is not None
         await rig.leave(names[2])
-        lent = await rig.until(lambda: parts() == [0.5, 0.5], 5.0)
-        assert lent is not None, "two heirs, half of the slot each"
-        assert await rig.until(lambda: parts() == whole[:2], LONG) is not None, "a loan ends by itself"
+        lent = await rig.until(lambda: shares() == [0.5, 0.5], 5.0)
+        assert lent is not None, "two borrowers, half of the slot each"
+        assert await rig.until(lambda: shares() == whole[:2], LONG_SECONDS) is not None, "a loan expires"
         await rig.start(names[2])
-        assert await rig.until(lambda: parts() == whole, LONG) is not None
+        assert await rig.until(lambda: shares() == whole, LONG_SECONDS) is not None
         rig.kill(names[1])
-        assert await rig.until(lambda: rig.holds_gone(names[1]), LONG) is not None
-        assert parts() == [1 / 3] * 2, "nobody can tell a crash from a cut"
+        assert await rig.until(lambda: rig.holds_gone(names[1]), LONG_SECONDS) is not None
+        assert shares() == [1 / 3] * 2, "a crash cannot be distinguished from a partition, so nothing is lent"
 
     assert played(tmp_path, script, 3).broken == []
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""The group of controllers without sockets: laws of news, messages, detection, repair, and hard cases at 300."""
+"""Group membership in virtual time: merge laws, messages, failure detection, repair, difficult cases at 300 members."""
 
 from dataclasses import replace
 
@@ -46,7 +46,7 @@
 
 @FAST
 @given(ROW, ROW, ROW)
-def test_news_of_a_member_is_a_join(one, other, third):
+def test_merge_of_rows_is_commutative_associative_and_idempotent(one, other, third):
     assert merge(one, other) == merge(other, one)
     assert merge(merge(one, other), third) == merge(one, merge(other, third))
     assert merge(one, one) == one and merge(merge(one, other), other) == merge(one, other)
@@ -74,7 +74,7 @@
 
 @FAST
 @given(MESSAGE, st.binary(max_size=60), st.integers(0, 10_000))
-def test_messages_are_read_as_written_and_all_others_are_refused(message, garbage, place):
+def test_messages_decode_as_encoded_and_all_others_are_refused(message, garbage, place):
     codec = Codec("group", "mark")
     data = codec.encode(message)
     assert codec.decode(data) == message
@@ -88,9 +88,9 @@
         (Codec("group", "another mark"), data),
         (Codec("another group", "mark"), data),
     ):
-        with pytest.raises(MessageError) as caught:
+        with pytest.raises(MessageError) as raised:
             other.decode(bad)
-        assert str(caught.value)
+        assert str(raised.value)
 
 
 def test_a_row_out_of_bounds_is_refused_though_its_sender_knows_the_mark():
@@ -111,34 +111,36 @@
             codec.decode(codec.encode(Message("ping", bad)))
 
 
-def test_a_doubt_grows_shorter_with_each_accuser_and_no_longer_than_the_most():
-    doubts, seat = Suspicions(), ("a", "at")
-    doubts.add(0.0, seat, 1, 0, {"p"}, 4.0, 16.0, 300)
-    dues = [doubts.next_due()]
+def test_a_suspicion_shortens_with_each_accuser_down_to_the_minimum():
+    suspicions, seat = Suspicions(), ("a", "at")
+    suspicions.add(0.0, seat, 1, 0, {"p"}, 4.0, 16.0, 300)
+    dues = [suspicions.next_due()]
     for accuser in "qrst":
-        doubts.add(1.0, seat, 1, 0, {accuser}, 4.0, 16.0, 300)
-        dues.append(doubts.next_due())
+        suspicions.add(1.0, seat, 1, 0, {accuser}, 4.0, 16.0, 300)
+        dues.append(suspicions.next_due())
     assert dues[0] == 16.0 and dues == sorted(dues, reverse=True) and dues[3] == dues[4] == 4.0
-    doubts.shift(10.0)
-    assert doubts.expired(13.9) == [] and [one for one, _ in doubts.expired(14.0)] == [seat]
-    assert doubts.next_due() == float("inf")
+    suspicions.shift(10.0)
+    assert suspicions.expired(13.9) == [] and [one for one, _ in suspicions.expired(14.0)] == [seat]
+    assert suspicions.next_due() == float("inf")
 
 
-def test_who_accuses_members_that_were_just_heard_from_is_believed_no_more_for_a_while():
-    conduct = AccuserTrust(distrust_after=3, window_ms=30.0, distrust_ms=60.0)
-    assert not any(conduct.contradicted(0.0, "liar", ("a", "at")) for _ in range(9)), "one victim may be cut off"
-    assert not conduct.contradicted(1.0, "liar", ("b", "at")) and conduct.contradicted(2.0, "liar", ("c", "at"))
-    assert conduct.distrusted(3.0, "liar") and not conduct.distrusted(70.0, "liar")
+def test_an_accuser_of_responsive_members_is_distrusted_for_a_while():
+    trust = AccuserTrust(distrust_after=3, window_ms=30.0, distrust_ms=60.0)
+    assert not any(trust.contradicted(0.0, "liar", ("a", "at")) for _ in range(9)), (
+        "one accused member may really be cut off"
+    )
+    assert not trust.contradicted(1.0, "liar", ("b", "at")) and trust.contradicted(2.0, "liar", ("c", "at"))
+    assert trust.distrusted(3.0, "liar") and not trust.distrusted(70.0, "liar")
 
 
 # Cases in virtual time
 
 
 def history(virtual: Virtual, viewers: int = 24, every: float = 1_000.0):
-    """Notes for the judge, from some viewers: what it wants of 300 would be 90,000 rows a look."""
+    """Record views for the judge from some members only: at 300 members all views would have 90,000 rows each time."""
     noted: list[seen.Happened] = [seen.Began(virtual.now, name) for name in virtual.members]
 
-    def look():
+    def note_views():
         chosen = sorted(virtual.members)[:: max(1, len(virtual.members) // viewers)]
         for name in chosen:
             one = virtual.members[name]
@@ -157,28 +159,28 @@
                         ],
                     )
                 )
-        virtual._later(every, look)
+        virtual._later(every, note_views)
 
-    virtual._later(every, look)
+    virtual._later(every, note_views)
     return noted
 
 
 def verdict(virtual: Virtual, noted, **bounds) -> list[seen.BrokenInvariant]:
-    """Those that never looked can't be judged for (a); `alike` is asked of all members by the caller."""
+    """Broken invariants except (a), which needs views of all members; the callers check `alike` instead."""
     return [one for one in seen.check(noted, seen.Bounds(**bounds), virtual.now).broken if one.which != "a"]
 
 
 @pytest.mark.parametrize("size", [2, 3, 12, 60])
 def test_a_group_finds_all_its_members_and_notices_a_death(size):
     virtual = Virtual(size)
-    took = virtual.run(10_000, virtual.alike)
-    assert took is not None and took < 3_000
+    settled_after = virtual.run(10_000, virtual.alike)
+    assert settled_after is not None and settled_after < 3_000
     virtual.run(5_000)
     virtual.kill(f"c{size - 1}")
     assert virtual.run(40_000, lambda: virtual.all_hold_gone(f"c{size - 1}")) is not None
 
 
-def test_loss_of_a_twentieth_kills_nobody_and_of_a_fifth_nobody_for_good():
+def test_message_loss_of_5_and_20_percent_declares_nobody_dead():
     for loss in (0.05, 0.2):
         virtual = Virtual(60, seed=5, loss=loss, settled=True)
         died = []
@@ -190,22 +192,22 @@
 
 @pytest.mark.parametrize("size", [12, 300])
 @pytest.mark.parametrize("what", ["deaf", "mute"])
-def test_a_member_cut_off_one_way_is_judged_once_and_judges_nobody(size, what):
+def test_a_member_cut_off_one_way_is_declared_dead_once_and_accuses_nobody(size, what):
     virtual = Virtual(size, seed=3, settled=True)
     virtual.run(3_000)
-    turns: list[tuple[str, str, Event]] = []
-    virtual.watch = lambda member, event: turns.append((member.name, event.row.name if event.row else "", event))
+    events: list[tuple[str, str, Event]] = []
+    virtual.watch = lambda member, event: events.append((member.name, event.row.name if event.row else "", event))
     one, other = (None, {"c5"}) if what == "deaf" else ({"c5"}, None)
     virtual.links.put("cut", one, other, SILENT, both=False)
     virtual.run(60_000)
-    of_it = [event.kind for name, about, event in turns if about == "c5" and name != "c5"]
-    assert of_it.count("died") == of_it.count("suspected") == size - 1 and len(of_it) <= 3 * (size - 1)
-    assert not [name for name, about, event in turns if about not in ("c5", "") and name != "c5"], "it blamed others"
+    about_c5 = [event.kind for name, about, event in events if about == "c5" and name != "c5"]
+    assert about_c5.count("died") == about_c5.count("suspected") == size - 1 and len(about_c5) <= 3 * (size - 1)
+    assert not [name for name, about, event in events if about not in ("c5", "") and name != "c5"], "it accused others"
     virtual.links.heal("cut")
     assert virtual.run(10_000, virtual.alike) is not None
 
 
-def test_three_parts_of_300_with_comings_and_goings_become_one_again():
+def test_three_partitions_of_300_with_joins_and_leaves_merge_again():
     virtual = Virtual(300, seed=1, settled=True)
     noted = history(virtual)
     virtual.run(3_000)
@@ -230,13 +232,13 @@
     assert virtual.run(60_000, lambda: all(virtual.alike(side) for side in sides), 500) is not None
     virtual.links.heal("partition")
     noted.append(seen.Faulted(virtual.now))
-    took = virtual.run(30_000, virtual.alike)
-    assert took is not None and took <= 10_000
+    settled_after = virtual.run(30_000, virtual.alike)
+    assert settled_after is not None and settled_after <= 10_000
     virtual.run(8_000)
     assert virtual.alike() and verdict(virtual, noted) == []
 
 
-def test_a_third_of_300_killed_at_once_is_noticed_and_nobody_else_blamed():
+def test_a_third_of_300_killed_at_once_is_noticed_and_nobody_else_declared_dead():
     virtual = Virtual(300, seed=4, settled=True)
     noted = history(virtual)
     virtual.run(3_000)
@@ -247,7 +249,7 @@
     assert verdict(virtual, noted, never_dead=True) == []
 
 
-def test_a_whole_zone_of_300_held_still_for_ten_seconds_comes_back_and_blames_nobody():
+def test_a_zone_of_300_suspended_for_ten_seconds_comes_back_without_false_deaths():
     virtual = Virtual(300, seed=6, settled=True)
     noted = history(virtual)
     virtual.run(3_000)
@@ -261,12 +263,12 @@
     assert virtual.alike() and verdict(virtual, noted) == []
 
 
-def test_all_of_60_restarted_in_turn_and_at_once_with_stale_addresses():
+def test_60_members_restarted_in_turn_then_at_once_with_stale_addresses():
     virtual = Virtual(60, seed=7, settled=True)
     noted = history(virtual)
     virtual.run(2_000)
     for n in range(0, 60, 2):
-        # Two at a time, each where the other was: all seeds and all that is known of them is stale.
+        # Two at a time swap addresses, so that all seeds and known addresses are stale.
         for name in (f"c{n}", f"c{n + 1}"):
             virtual.kill(name)
             noted.append(seen.Ended(virtual.now, name, "killed"))
@@ -301,19 +303,19 @@
     assert kinds.count("restarted") == 59 and not {"suspected", "died"} & set(kinds)
 
 
-def test_a_member_that_leaves_is_known_to_all_within_a_second_and_never_suspected():
+def test_a_leave_reaches_all_within_a_second_without_suspicion():
     virtual = Virtual(300, seed=9, settled=True)
     virtual.run(3_000)
     kinds = []
     virtual.watch = lambda member, event: kinds.append(event.kind)
     virtual.leave("c9")
-    took = virtual.run(2_000, lambda: virtual.all_hold_gone("c9"), 20)
-    assert took is not None and took <= 1_000
+    settled_after = virtual.run(2_000, lambda: virtual.all_hold_gone("c9"), 20)
+    assert settled_after is not None and settled_after <= 1_000
     virtual.run(20_000)
     assert kinds.count("left") == 299 and not {"suspected", "died"} & set(kinds)
 
 
-def test_two_with_one_name_are_told_apart_and_another_on_an_old_address_is_not_the_old_one():
+def test_duplicate_names_are_reported_and_a_reused_address_is_a_new_member():
     virtual = Virtual(8, seed=2, settled=True)
     virtual.run(2_000)
     kinds: list[tuple[str, str]] = []
@@ -338,7 +340,7 @@
     )
 
 
-def test_seeds_that_are_dead_or_wrong_keep_nobody_out_who_has_one_good_one():
+def test_one_good_seed_among_dead_and_wrong_ones_is_enough_to_join():
     virtual = Virtual(20, seed=3, settled=True)
     for name in ("c0", "c1", "c2"):
         virtual.kill(name)
@@ -350,7 +352,7 @@
     assert lonely.live() == [lonely.me]
 
 
-def test_clocks_that_jump_a_slow_member_and_a_flapping_link_kill_nobody():
+def test_clock_jumps_a_slow_member_and_a_flapping_link_declare_nobody_dead():
     virtual = Virtual(60, seed=11, settled=True)
     noted = history(virtual)
     virtual.run(3_000)
@@ -366,10 +368,10 @@
     virtual.run(10_000)
     assert virtual.alike()
     broken = [one for one in verdict(virtual, noted, never_dead=True) if "c5" not in one.what]
-    assert broken == [], "c5 alone, whose clock leaps by minutes, may be taken for silent"
+    assert broken == [], "only c5, whose clock jumps by minutes, may be suspected"
 
 
-def test_one_that_lies_of_others_deaths_with_high_incarnations_is_named_and_kills_nobody():
+def test_a_liar_with_high_incarnations_is_distrusted_and_declares_nobody_dead():
     virtual = Virtual(60, seed=12, settled=True)
     virtual.run(20_000)
     kinds: list[tuple[str, tuple[str, ...]]] = []
@@ -387,7 +389,7 @@
     assert ("distrusted", ("c13",)) in kinds and ("refused", ("c13",)) in kinds
 
 
-def test_replayed_messages_of_the_past_change_nothing():
+def test_replayed_messages_change_nothing():
     virtual = Virtual(20, seed=13, settled=True)
     past: list[tuple[str, str, Message]] = []
     post = virtual.post
@@ -405,28 +407,28 @@
     assert virtual.alike() and not {"joined", "restarted", "died"} & set(kinds)
 
 
-def test_figures_reach_all_within_their_time_and_no_digest_counts_them():
+def test_figures_reach_all_in_time_and_are_not_part_of_digests():
     virtual = Virtual(60, seed=15, settled=True)
     virtual.run(5_000)
     marks = {name: (one.digest, tuple(one.table.marks)) for name, one in virtual.members.items()}
-    told = virtual.members["c7"]
-    assert told.update_figures(virtual.now, (100.0, 2.0))
-    assert not told.update_figures(virtual.now, (900.0, 2.0)), "no more often than the group's news can carry"
+    owner = virtual.members["c7"]
+    assert owner.update_figures(virtual.now, (100.0, 2.0))
+    assert not owner.update_figures(virtual.now, (900.0, 2.0)), "figures are limited to what the updates can carry"
     virtual.run(10_000)
-    held = [one.table.row(told.me.seat).figures for one in virtual.members.values()]
+    held = [one.table.row(owner.me.seat).figures for one in virtual.members.values()]
     assert held == [(100.0, 2.0)] * 60
     assert {name: (one.digest, tuple(one.table.marks)) for name, one in virtual.members.items()} == marks
-    assert not told.update_figures(virtual.now, (110.0, 2.0)) and told.update_figures(virtual.now, (200.0, 2.0))
-    # What somebody else says of its load does not stand.
+    assert not owner.update_figures(virtual.now, (110.0, 2.0)) and owner.update_figures(virtual.now, (200.0, 2.0))
+    # The owner overrides figures that another member made up for it.
     one = virtual.members["c1"]
-    false = replace(told.me, figures_version=told.me.figures_version + 5, figures=(1e9,))
+    false = replace(owner.me, figures_version=owner.me.figures_version + 5, figures=(1e9,))
     one.receive(virtual.now, Message("ack", virtual.members["c2"].me, rows=(false,)))
     virtual.run(20_000)
-    assert {member.table.row(told.me.seat).figures for member in virtual.members.values()} == {(200.0, 2.0)}
+    assert {member.table.row(owner.me.seat).figures for member in virtual.members.values()} == {(200.0, 2.0)}
 
 
-def test_more_figures_than_a_row_may_have_are_refused_where_they_are_told_and_the_daemons_are_fewer():
-    """Seen: one figure more, and all members refused each other's rows without a word to the teller."""
+def test_too_many_figures_are_refused_by_their_owner_and_the_daemon_has_fewer():
+    """With one figure too many, all members refused each other's rows, and the owner was never told."""
     world = Virtual(3)
     with pytest.raises(ValueError, match="16 figures at the most, got 17"):
         world.members["c0"].update_figures(0.0, (1.0,) * 17)
@@ -436,7 +438,7 @@
     assert codec.decode(codec.encode(message)).rows == (row,)
 
 
-def test_two_thousand_names_gone_by_fill_no_memory_and_come_back_by_no_news():
+def test_two_thousand_ended_members_use_bounded_memory_and_do_not_return():
     virtual = Virtual(3, seed=14, settled=True)
     one = virtual.members["c0"]
     for n in range(2_000):
@@ -458,4 +460,4 @@
     one.receive(virtual.now, Message("ack", virtual.members["c1"].me, rows=(old,)))
     assert "x1999" not in [row.name for row in one.live()]
     one.table.sweep(virtual.now + one.limits.forget_after + 1e9)
-    assert len(one.table.records) == 2, "the dead are forgotten in the end"
+    assert len(one.table.records) == 2, "ended members are forgotten after `forget_after`"
