--- a/sprucespool/membership/__init__.py
+++ b/sprucespool/membership/__init__.py
@@ -1,11 +1,11 @@
-"""Who else is in the group of controllers: identity, detection, repair, events, shared parts. No I/O, no clock.
+"""Membership of the group of controllers: identity, failure detection, repair, events, shared quotas. No I/O, no clock.
 
-`Group` is one member; `Codec` its messages as bytes; `Shares` its part of what all divide.
+`Group` is one member, `Codec` encodes its messages, and `Shares` computes its share of the common quotas.
 """
 
 from sprucespool.membership.codec import Codec, MessageError
 from sprucespool.membership.group import Group, GroupLimits
-from sprucespool.membership.messages import Event, Message, Say
+from sprucespool.membership.messages import Event, Message, Outgoing
 from sprucespool.membership.rows import About, Phase, Row, Seat, State, merge
 
 __all__ = [
@@ -16,9 +16,9 @@
     "GroupLimits",
     "Message",
     "MessageError",
+    "Outgoing",
     "Phase",
     "Row",
-    "Say",
     "Seat",
     "State",
     "merge",
