--- a/sprucespool/daemon/failover.py
+++ b/sprucespool/daemon/failover.py
@@ -20,22 +20,22 @@
     Failover,
     Gauge,
     GaugeLimits,
-    Keep,
-    Loaded,
-    Pass,
+    LoadReport,
+    PlanMessage,
+    PlanMessageError,
     PlannerLimits,
+    RenewalDelivery,
     Reports,
-    Said,
-    SaidError,
+    SendToVoter,
+    ServingInvoker,
     Spread,
-    Standing,
     Steer,
-    Tell,
+    StoreBallot,
     Topology,
-    Ways,
+    ZoneCosts,
     ZoneState,
-    ballot,
-    kept,
+    decode_ballot,
+    encode_ballot,
 )
 from sprucespool.gateway import messages as ms
 from sprucespool.grpc.status import Status
@@ -133,7 +133,7 @@
         self.steer, self.meter = steer(self.zone, self.topology), kind.meter_kind(self.zone)
         self.spread = Spread(plan.seed * 37 + plan.controller.number)
         self.gauge = Gauge(self.topology, GaugeLimits(plan.fleet.cold_share, plan.fleet.warm_after, told.cores))
-        self.reports, self.ways = Reports(), Ways(self.zone, self.topology)
+        self.reports, self.ways = Reports(), ZoneCosts(self.zone, self.topology)
         self.ways_at = self.states_at = 0.0
         self.groups = {group.name: group for group in plan.model_groups}
         self.bound = {tenant.name for tenant in plan.tenants if tenant.stay}
@@ -143,7 +143,7 @@
         self.timer: asyncio.TimerHandle | None = None
         self.stopped = False
         weigh, self.group.figures = group.weigh, (*FIGURES, *MORE_FIGURES)
-        group.weigh = lambda: (*weigh(), *self.meter.figures(self.now()))
+        group.weigh = lambda: (*weigh(), *self.meter.measure(self.now()))
         group.ride_plan, group.on_plan = self._ride, self._heard
 
     def now(self) -> float:
@@ -158,8 +158,8 @@
         if self.file is None or data is None:
             return None
         try:
-            return ballot(data)
-        except SaidError as problem:
+            return decode_ballot(data)
+        except PlanMessageError as problem:
             self.file.refuse(str(problem))
             return None
 
@@ -173,27 +173,28 @@
         now = self.now()
         if now >= self.states_at:
             council = self.failover.council
-            plans = council.votes or council.in_force(now) is None
+            plans = council.is_voter or council.in_force(now) is None
             self.states_at = now + (STATES_EVERY if plans else 2 * STATES_EVERY)
             states = self.states()
-            self.steer.serves = frozenset(zone for zone, state in states.items() if state.now > 0) or None
+            self.steer.serving_zones = frozenset(zone for zone, state in states.items() if state.now > 0) or None
             if not states[self.zone].warm:
-                self.meter.emptied()
-            self.failover.know(now, states)
-            self.failover.know_members(self._speakers())
+                self.meter.forget_outcomes()
+            self.failover.update_states(now, states)
+            self.failover.update_members(self._speakers())
         if self.unkept is not None and self.file is not None:
             self._keep(self.file, self.unkept)
         self._do(self.failover.tick(now))
         if self.failover.council.leads(now):
             self._pass(
-                self.spread.lead(now, self.failover.council.renewal(now), [row.address for row in self.others()])
+                self.spread.distribute(now, self.failover.council.renewal(now), [row.address for row in self.others()])
             )
-        ways, news = self._measured(now), self.meter.news(now)
+        ways, news = self._measured(now), self.meter.report_if_due(now)
         if news is not None or ways:
             for row in self.others():
                 if row.name in self.failover.council.voters:
                     self._send(
-                        row.address, Said(self.failover.name, self.failover.epoch, figures=news or (), ways=ways)
+                        row.address,
+                        PlanMessage(self.failover.name, self.failover.epoch, metrics=news or (), costs=ways),
                     )
         soon = (self.failover.due() - now) / 1000.0
         if soon < LOOK_EVERY:
@@ -204,18 +205,18 @@
         """Ways to be told now, if it is time; a voter brings its costs up to date by what it was told."""
         member = self.group.group
         while member is not None and member.round_trips:
-            self.ways.answered(*member.round_trips.popleft())
+            self.ways.record_round_trip(*member.round_trips.popleft())
         if now < self.ways_at:
             return {}
         self.ways_at = now + WAYS_EVERY
         self.reports.keep(row.name for row in self.others())
-        if self.failover.council.votes and self.ways.weigh(row.name for row in self.others()):
+        if self.failover.council.is_voter and self.ways.update(row.name for row in self.others()):
             self.log.info(
                 "failover",
                 kind="ways",
                 costs={f"{one} {other}": cost for (one, other), cost in sorted(self.topology.costs.items())},
             )
-        return self.ways.row()
+        return self.ways.measured()
 
     def others(self) -> list[Any]:
         member = self.group.group
@@ -234,7 +235,7 @@
             []
             if fleet is None
             else [
-                Standing(
+                ServingInvoker(
                     place.zone,
                     place.size,
                     None if place.born is None else now - place.born,
@@ -245,43 +246,43 @@
                 if place.status == it.Status.IN_SERVICE.value
             ]
         )
-        loaded = [Loaded(self.zone, *self.meter.figures(now), at=now)]
+        loaded = [LoadReport(self.zone, *self.meter.measure(now), reported_at=now)]
         size = len(self.group.figures)
         for row in self.others() if member is not None else ():
             told, at = self.reports.of(now, row.name, row.figures[len(FIGURES) :] if len(row.figures) == size else ())
             if len(told) == len(MORE_FIGURES):
                 free, bound, did, well, soon = told
-                loaded.append(Loaded(row.about.zone, free, bound, did, well, soon, row.name, at))
+                loaded.append(LoadReport(row.about.zone, free, bound, did, well, soon, row.name, at))
         return self.gauge.states(now, standing, loaded, self.failover.council.in_force(now))
 
     def _do(self, effects: Iterable[Any]):
         where = {row.name: row.address for row in self.others()}
         for effect in effects:
-            if isinstance(effect, Keep):
+            if isinstance(effect, StoreBallot):
                 if self.file is not None:
                     self._keep(self.file, effect.ballot)
-            elif isinstance(effect, Tell) and effect.to in where and self.unkept is None:
-                self._send(where[effect.to], Said(self.failover.name, self.failover.epoch, effect.word))
+            elif isinstance(effect, SendToVoter) and effect.to in where and self.unkept is None:
+                self._send(where[effect.to], PlanMessage(self.failover.name, self.failover.epoch, effect.message))
         for event in self.failover.take_events():
             log = self.log.warning if event.kind in LOUD else self.log.info
             log("failover", kind=event.kind, epoch=event.epoch, **({"why": event.why} if event.why else {}))
 
     def _keep(self, file: SnapshotFile, promised: Ballot):
         """What is told rests on the ballot: while it does not last nothing is told, as if the messages were lost."""
-        self.unkept = None if file.write(kept(promised)) else promised
+        self.unkept = None if file.write(encode_ballot(promised)) else promised
 
-    def _send(self, to: str, said: Said):
+    def _send(self, to: str, said: PlanMessage):
         self.group.send_plan(to, self.codec.encode(said))
 
-    def _pass(self, passes: Iterable[Pass]):
+    def _pass(self, passes: Iterable[RenewalDelivery]):
         for one in passes:
-            self._send(one.to, Said(self.failover.name, self.failover.epoch, None, one.renewal, one.pass_on))
+            self._send(one.to, PlanMessage(self.failover.name, self.failover.epoch, None, one.renewal, one.pass_on))
 
     # The group's messages
 
     def _ride(self) -> bytes:
         renewal = self.failover.council.renewal(self.now())
-        return self.codec.encode(Said(self.failover.name, self.failover.epoch, None, renewal))
+        return self.codec.encode(PlanMessage(self.failover.name, self.failover.epoch, None, renewal))
 
     def _heard(self, data: bytes):
         """Raises SaidError with what was expected."""
@@ -289,17 +290,17 @@
         if len(self.follows) < 4096 or said.sender in self.follows:
             self.follows[said.sender] = said.epoch
         if said.renewal is not None:
-            self.failover.rode(now, said.renewal)
+            self.failover.receive_renewal(now, said.renewal)
             for to in said.pass_on:
                 loopback(to)
-            self._pass(Spread.on(said.renewal, said.pass_on))
-        told = said.figures or said.ways
+            self._pass(Spread.relay(said.renewal, said.pass_on))
+        told = said.metrics or said.costs
         row = next((one for one in self.others() if one.name == said.sender), None) if told else None
-        if row is not None and said.figures:
-            self.reports.heard(now, said.sender, said.figures)
-        if row is not None and said.ways:
-            self.ways.heard(said.sender, row.about.zone, said.ways)
-        self._do(self.failover.heard(now, said.word) if said.word is not None else ())
+        if row is not None and said.metrics:
+            self.reports.receive(now, said.sender, said.metrics)
+        if row is not None and said.costs:
+            self.ways.receive(said.sender, row.about.zone, said.costs)
+        self._do(self.failover.receive(now, said.council_message) if said.council_message is not None else ())
 
     # Inferences
 
@@ -385,7 +386,7 @@
             leader,
             list(council.voters),
             failover.planner.changes,
-            sorted(failover.wanted),
+            sorted(failover.requested_drains),
             [zone for zone in self.topology.zones if not self.steer.open(zone)],
             {name: follows[name] for name in sorted(live) if name in follows},
             lines,
@@ -409,7 +410,7 @@
         council = self.failover.council
         leader = council.leader
         where = next((row.address for row in self.others() if row.name == leader), "")
-        if not where and council.votes is False:
+        if not where and council.is_voter is False:
             # Only voters hear who leads: any of them can say.
             where = next((row.address for row in self.others() if row.name in council.voters), "")
         _reply(call, platform.DrainZoneReply(why=f"{leader or 'nobody known here'} leads", leader=where))
--- a/sprucespool/emulator/liars.py
+++ b/sprucespool/emulator/liars.py
@@ -8,5 +8,5 @@
 class LyingMeter(Meter):
     """Its zone is asked a million cores, and home answers nothing."""
 
-    def figures(self, now: float) -> tuple[float, float, float, float, float]:
+    def measure(self, now: float) -> tuple[float, float, float, float, float]:
         return 1e6, 1e6, 0.0, 0.0, 0.0
--- a/sprucespool/emulator/models.py
+++ b/sprucespool/emulator/models.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Hashable, Iterable
 from dataclasses import replace
 
-from sprucespool.failover import Ballot, Council, Keep, Plan, Word
+from sprucespool.failover import Ballot, Council, CouncilMessage, Plan, StoreBallot
 from sprucespool.fleet import Course, Fleet, Listed, Note, Record, Told
 from sprucespool.membership import About, Group, GroupLimits, Row, State
 from sprucespool.membership.rows import Phase
@@ -406,7 +406,7 @@
         self.every = (*self.names, *(f"w{n}" for n in range(spares)))
         self.disks: dict[str, Ballot] = {name: Ballot() for name in self.every}
         self.councils = {name: self._new(name) for name in self.every}
-        self.air: list[tuple[str, Word]] = []
+        self.air: list[tuple[str, CouncilMessage]] = []
         self.leaders: dict[int, str] = {}
         self.plans: dict[tuple[int, int], Plan] = {}
         self.highest: dict[str, tuple[int, int]] = {}
@@ -415,12 +415,12 @@
 
     def _new(self, name: str) -> Council:
         one = self.kind(name, self.names, 1, self.disks[name] if self.keeps else Ballot())
-        one.begun_at, one.wait_until = 0.0, float("inf")
+        one.started_at, one.election_at = 0.0, float("inf")
         return one
 
     def moves(self) -> Iterable[Hashable]:
         for name, one in self.councils.items():
-            if one.role != "leader" and one.votes and len(self.air) < self.most:
+            if one.role != "leader" and one.is_voter and len(self.air) < self.most:
                 yield "stand", name
                 if self.asks:
                     yield "wait over", name
@@ -442,31 +442,31 @@
             name, word = self.air[move[1]]
             # Nobody's silence is counted here: a leader just heard may be voted out at any moment.
             one = self.councils[name]
-            one.heard_at = one.lease_until = -1e9
-            effects = one.heard(0.0, word)
+            one.last_beat_at = one.lease_until = -1e9
+            effects = one.receive(0.0, word)
         else:
             name = move[1]
             one = self.councils[name]
             if what == "wait over":
-                effects = one._ask(0.0)
+                effects = one._request_pre_votes(0.0)
             elif what == "stand":
                 # As if most had said that they would: the asking before it keeps terms low, no safety rests on it.
-                effects = one._stand(0.0)
+                effects = one._start_election(0.0)
             elif what == "propose":
                 self.proposed += 1
                 effects = one.propose(0.0, Plan((0, 0), {"z": {"z": 1.0}}, {}, reason=f"{name} {self.proposed}"))
             elif what == "reseat":
                 self.reseated += 1
-                effects = one.reseat(0.0, tuple(sorted(set(one.voters) ^ {move[2]})))
+                effects = one.change_voters(0.0, tuple(sorted(set(one.voters) ^ {move[2]})))
             else:
                 self.crashed += 1
                 self.councils[name] = self._new(name)
                 effects = []
         for effect in effects:
-            if isinstance(effect, Keep):
+            if isinstance(effect, StoreBallot):
                 self.disks[name] = effect.ballot
             else:
-                self.air.append((effect.to, effect.word))
+                self.air.append((effect.to, effect.message))
         self._watch(name)
 
     def _watch(self, name: str):
@@ -492,8 +492,8 @@
                 one.leader,
                 one.plan,
                 one.decided,
-                one.renewed,
-                sorted(one.yes),
+                one.renewals,
+                sorted(one.votes_received),
                 sorted((n, sorted(who)) for n, who in one.answers.items()),
             )
             for name, one in self.councils.items()
--- a/sprucespool/emulator/plans.py
+++ b/sprucespool/emulator/plans.py
@@ -25,22 +25,22 @@
     Failover,
     Gauge,
     GaugeLimits,
-    Keep,
-    Loaded,
+    LoadReport,
     Meter,
-    Pass,
     Plan,
+    PlanMessage,
     Planner,
     PlannerLimits,
+    RenewalDelivery,
     Reports,
-    Said,
+    SendToVoter,
+    ServingInvoker,
     Spread,
-    Standing,
     Steer,
-    Tell,
+    StoreBallot,
     Topology,
     ZoneState,
-    near,
+    home_plan,
 )
 from sprucespool.failover.council import Ballot, Effect
 from sprucespool.fleet import Fleet, Place
@@ -145,7 +145,7 @@
         rate = self.habits.load * boxes * self.habits.cores / (mean / 1000.0) / size
         self.sight: dict[str, ZoneState] = {}
         super().__init__(size, boxes, seed, True, rate, kind=fleet, zones=zones, limits=group_limits, **more)
-        self.load = lambda one: self.parts[one].meter.figures(self.now) if one in self.parts else ()
+        self.load = lambda one: self.parts[one].meter.measure(self.now) if one in self.parts else ()
         self.latency: dict[tuple[str, str], tuple[float, float]] = {}
         for one, other in ((a, b) for a in self.topology.zones for b in self.topology.zones if a < b):
             same = self.topology.same_region(one, other)
@@ -183,7 +183,7 @@
             Spread(self.seed * 37 + number),
             Planner(self.topology, self.planner_limits),
             Gauge(self.topology, GaugeLimits(self.habits.cold_share, self.habits.warm_after)),
-            near(self.topology.zones),
+            home_plan(self.topology.zones),
         )
         self._later(self.chance.uniform(0, TICK), lambda: self._plan_tick(one))
         return one
@@ -202,49 +202,51 @@
         failover = self.parts[one].failover
         return (
             *wrapped,
-            self.plan_codec.encode(Said(one.name, failover.epoch, None, failover.council.renewal(self._time(one)))),
+            self.plan_codec.encode(
+                PlanMessage(one.name, failover.epoch, None, failover.council.renewal(self._time(one)))
+            ),
         )
 
     def _delivered(self, one: Group, message: Any):
-        if isinstance(message, Said):
+        if isinstance(message, PlanMessage):
             return self._plan_heard(one, message)
         if isinstance(message, tuple) and len(message) == 3:
             super()._delivered(one, message[:2])
             return self._plan_heard(one, self.plan_codec.decode(message[2]))
         super()._delivered(one, message)
 
-    def _plan_heard(self, one: Group, said: Said):
+    def _plan_heard(self, one: Group, said: PlanMessage):
         part, now = self.parts.get(one), self._time(one)
         if part is None:
             return
         if said.renewal is not None:
-            part.failover.rode(now, said.renewal)
-            self._pass(one, Spread.on(said.renewal, said.pass_on))
-        if said.figures:
+            part.failover.receive_renewal(now, said.renewal)
+            self._pass(one, Spread.relay(said.renewal, said.pass_on))
+        if said.metrics:
             if any(row.name == said.sender for row in one.live()):
-                part.reports.heard(now, said.sender, said.figures)
-        if said.word is not None:
-            self._plan_do(one, part.failover.heard(now, said.word))
+                part.reports.receive(now, said.sender, said.metrics)
+        if said.council_message is not None:
+            self._plan_do(one, part.failover.receive(now, said.council_message))
 
-    def _pass(self, one: Group, passes: list[Pass]):
+    def _pass(self, one: Group, passes: list[RenewalDelivery]):
         for passed in passes:
-            self.post(one.name, passed.to, Said(one.name, (0, 0), None, passed.renewal, passed.pass_on))
+            self.post(one.name, passed.to, PlanMessage(one.name, (0, 0), None, passed.renewal, passed.pass_on))
 
     def _plan_do(self, one: Group, effects: list[Effect]):
         for effect in effects:
-            if isinstance(effect, Keep):
+            if isinstance(effect, StoreBallot):
                 self.ballots[one.name] = effect.ballot
-            elif isinstance(effect, Tell):
+            elif isinstance(effect, SendToVoter):
                 row = self.members.get(effect.to)
                 if row is not None:
-                    self.post(one.name, row.address, Said(one.name, (0, 0), effect.word))
+                    self.post(one.name, row.address, PlanMessage(one.name, (0, 0), effect.message))
 
     # A controller's part
 
     def states(self, one: Group) -> dict[str, ZoneState]:
         now, fleet = self._time(one), self.fleets[one]
         standing = [
-            Standing(
+            ServingInvoker(
                 place.zone,
                 place.size * self.habits.cores,
                 None if place.born is None else now - place.born,
@@ -253,13 +255,13 @@
             for place in fleet.told.values()
             if place.status == "in service"
         ]
-        loaded = [Loaded(one.about.zone, *self.parts[one].meter.figures(now), at=now)]
+        loaded = [LoadReport(one.about.zone, *self.parts[one].meter.measure(now), reported_at=now)]
         part = self.parts[one]
         for row in one.live():
             told, at = part.reports.of(now, row.name, row.figures)
             if row.seat != one.me.seat and len(told) == 5:
                 free, bound, did, well, soon = told
-                loaded.append(Loaded(row.about.zone, free, bound, did, well, soon, row.name, at))
+                loaded.append(LoadReport(row.about.zone, free, bound, did, well, soon, row.name, at))
         plan = part.plan if self.decider == "alone" else part.failover.council.in_force(now)
         return part.gauge.states(now, standing, loaded, plan)
 
@@ -271,26 +273,26 @@
             return
         part, now = self.parts[one], self._time(one)
         council = part.failover.council
-        if self.decider == "alone" or council.votes or council.in_force(now) is None or not int(now / TICK) % 8:
+        if self.decider == "alone" or council.is_voter or council.in_force(now) is None or not int(now / TICK) % 8:
             # Who only follows needs them for its own safety alone: looked at now and then.
             states = self.states(one)
-            part.steer.serves = frozenset(zone for zone, state in states.items() if state.now > 0) or None
+            part.steer.serving_zones = frozenset(zone for zone, state in states.items() if state.now > 0) or None
             if not states[one.about.zone].warm:
-                part.meter.emptied()
-            part.failover.know(now, states)
-            part.failover.know_members({row.name: row.about.zone for row in one.live()})
+                part.meter.forget_outcomes()
+            part.failover.update_states(now, states)
+            part.failover.update_members({row.name: row.about.zone for row in one.live()})
             if self.decider == "alone":
                 part.plan = part.planner.next(now, states, part.plan) or part.plan
         if self.decider == "common":
-            news = part.meter.news(now)
+            news = part.meter.report_if_due(now)
             for voter in council.voters:
                 if news is not None and voter in self.members and voter != one.name:
-                    self.post(one.name, self.members[voter].address, Said(one.name, (0, 0), figures=news))
+                    self.post(one.name, self.members[voter].address, PlanMessage(one.name, (0, 0), metrics=news))
             self._plan_do(one, part.failover.tick(now))
             if council.leads(now):
                 self._pass(
                     one,
-                    part.spread.lead(
+                    part.spread.distribute(
                         now, council.renewal(now), [row.address for row in one.live() if row.seat != one.me.seat]
                     ),
                 )
--- a/sprucespool/failover/__init__.py
+++ b/sprucespool/failover/__init__.py
@@ -4,22 +4,31 @@
 `Spread` takes it to all, `Steer` has each inference go by it. `daemon/failover.py` carries it.
 """
 
-from sprucespool.failover.codec import Codec, Said, SaidError, ballot, kept
-from sprucespool.failover.council import Ballot, Council, CouncilLimits, Keep, Renewal, Seats, Tell, Word
-from sprucespool.failover.failover import Failover, Turned
-from sprucespool.failover.gauge import Gauge, GaugeLimits, Loaded, Reports, Standing
+from sprucespool.failover.codec import Codec, PlanMessage, PlanMessageError, decode_ballot, encode_ballot
+from sprucespool.failover.council import (
+    Ballot,
+    Council,
+    CouncilLimits,
+    CouncilMessage,
+    Renewal,
+    SendToVoter,
+    StoreBallot,
+    VoterSet,
+)
+from sprucespool.failover.failover import Failover, FailoverEvent
+from sprucespool.failover.gauge import Gauge, GaugeLimits, LoadReport, Reports, ServingInvoker
 from sprucespool.failover.meter import Meter
-from sprucespool.failover.plan import Plan, distance, faults, near, rounded
-from sprucespool.failover.planner import Planner, PlannerLimits, ZoneState, carries, safe
-from sprucespool.failover.seating import Seating
-from sprucespool.failover.solver import Asked, Placed, place
-from sprucespool.failover.spread import Pass, Spread
-from sprucespool.failover.steer import Sifter, Steer, SteerLimits
+from sprucespool.failover.plan import Plan, distance, home_plan, plan_errors, rounded
+from sprucespool.failover.planner import Planner, PlannerLimits, ZoneState, fallback_plan, zone_loads
+from sprucespool.failover.solver import Demand, Placement, place
+from sprucespool.failover.spread import RenewalDelivery, Spread
+from sprucespool.failover.steer import Steer, SteerLimits, ValueShedder
 from sprucespool.failover.topology import Topology
-from sprucespool.failover.ways import Ways
+from sprucespool.failover.voter_selection import VoterSelection
+from sprucespool.failover.zone_costs import ZoneCosts
 
 __all__ = [
-    "Asked",
+    "Demand",
     "Ballot",
     "Codec",
     "Council",
@@ -27,38 +36,38 @@
     "Failover",
     "Gauge",
     "GaugeLimits",
-    "Keep",
-    "Loaded",
+    "StoreBallot",
+    "LoadReport",
     "Meter",
-    "Pass",
-    "Placed",
+    "RenewalDelivery",
+    "Placement",
     "Plan",
     "Planner",
     "PlannerLimits",
     "Renewal",
     "Reports",
-    "Said",
-    "SaidError",
-    "Seating",
-    "Seats",
-    "Sifter",
+    "PlanMessage",
+    "PlanMessageError",
+    "VoterSelection",
+    "VoterSet",
+    "ValueShedder",
     "Spread",
-    "Standing",
+    "ServingInvoker",
     "Steer",
     "SteerLimits",
-    "Tell",
+    "SendToVoter",
     "Topology",
-    "Turned",
-    "Ways",
-    "Word",
+    "FailoverEvent",
+    "ZoneCosts",
+    "CouncilMessage",
     "ZoneState",
-    "ballot",
-    "carries",
+    "decode_ballot",
+    "zone_loads",
     "distance",
-    "faults",
-    "kept",
-    "near",
+    "plan_errors",
+    "encode_ballot",
+    "home_plan",
     "place",
     "rounded",
-    "safe",
+    "fallback_plan",
 ]
--- a/sprucespool/failover/codec.py
+++ b/sprucespool/failover/codec.py
@@ -14,31 +14,31 @@
 
 import msgspec
 
-from sprucespool.failover.council import Ballot, Renewal, Seats, Word
+from sprucespool.failover.council import Ballot, CouncilMessage, Renewal, VoterSet
 from sprucespool.failover.plan import Plan
-from sprucespool.failover.seating import MOST_VOTERS
+from sprucespool.failover.voter_selection import MAX_VOTERS
 
 MOST_BYTES, SEAL, MOST_ZONES, LONGEST, MOST_ON, FARTHEST = 65_536, 16, 64, 128, 512, 2**53
 Shares = dict[str, dict[str, float]]
 
 
-class SaidError(ValueError):
+class PlanMessageError(ValueError):
     """Bytes that are no word of this group."""
 
 
 @dataclass(frozen=True, slots=True)
-class Said:
+class PlanMessage:
     """One message: a word of the council, or the plan in force, to be told on. `epoch` is what its sender follows."""
 
     sender: str
     epoch: tuple[int, int]
-    word: Word | None = None
+    council_message: CouncilMessage | None = None
     renewal: Renewal | None = None
     pass_on: tuple[str, ...] = ()
     # To voters: what the sender's own traffic shows, where that moved.
-    figures: tuple[float, ...] = ()
+    metrics: tuple[float, ...] = ()
     # One way from the sender's zone to others, ms, as it measured them.
-    ways: dict[str, float] = field(default_factory=dict)
+    costs: dict[str, float] = field(default_factory=dict)
 
 
 class _Plan(msgspec.Struct, array_like=True):
@@ -61,8 +61,8 @@
     number: int
     plan: _Plan | None
     decided: tuple[int, int]
-    renewed: int
-    seats: _Seats
+    renewals: int
+    voter_set: _Seats
 
 
 class _Wire(msgspec.Struct, array_like=True):
@@ -70,12 +70,12 @@
     epoch: tuple[int, int]
     word: _Word | None
     plan: _Plan | None
-    renewed: int
+    renewals: int
     age: float
     pass_on: list[str]
     figures: list[float]
     ways: dict[str, float]
-    seats: _Seats
+    voter_set: _Seats
 
 
 _ENCODER, _DECODER = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(_Wire)
@@ -89,7 +89,7 @@
 
 def _bounded(good: bool, expected: str):
     if not good:
-        raise SaidError(f"expected {expected}")
+        raise PlanMessageError(f"expected {expected}")
 
 
 def _counts(*figures: int):
@@ -115,20 +115,20 @@
     return Plan(told.epoch, told.free, told.bound, told.caps, told.reason, tuple(told.drained))
 
 
-def _seats_out(seats: Seats) -> _Seats:
-    return _Seats(seats.epoch, list(seats.voters))
+def _seats_out(voter_set: VoterSet) -> _Seats:
+    return _Seats(voter_set.epoch, list(voter_set.voters))
 
 
-def _seats_in(told: _Seats) -> Seats:
+def _seats_in(told: _Seats) -> VoterSet:
     _counts(*told.epoch)
     # One more than ever is in office, for a while.
     _bounded(
-        len(told.voters) <= MOST_VOTERS + 1
+        len(told.voters) <= MAX_VOTERS + 1
         and len(set(told.voters)) == len(told.voters)
         and all(0 < len(name) <= LONGEST for name in told.voters),
-        f"up to {MOST_VOTERS} different voters",
+        f"up to {MAX_VOTERS} different voters",
     )
-    return Seats(told.epoch, tuple(told.voters))
+    return VoterSet(told.epoch, tuple(told.voters))
 
 
 class Codec:
@@ -140,8 +140,8 @@
     def _seal(self, data: bytes) -> bytes:
         return hashlib.blake2b(data, key=self.key, digest_size=SEAL).digest()
 
-    def encode(self, said: Said) -> bytes:
-        word, renewal = said.word, said.renewal
+    def encode(self, said: PlanMessage) -> bytes:
+        word, renewal = said.council_message, said.renewal
         wire = _Wire(
             said.sender,
             said.epoch,
@@ -153,21 +153,21 @@
                 word.number,
                 _plan_out(word.plan),
                 word.decided,
-                word.renewed,
-                _seats_out(word.seats),
+                word.renewals,
+                _seats_out(word.voter_set),
             ),
             None if renewal is None else _plan_out(renewal.plan),
-            0 if renewal is None else renewal.renewed,
+            0 if renewal is None else renewal.renewals,
             0.0 if renewal is None else renewal.age,
             list(said.pass_on),
-            list(said.figures),
-            said.ways,
-            _seats_out(Seats() if renewal is None else renewal.seats),
+            list(said.metrics),
+            said.costs,
+            _seats_out(VoterSet() if renewal is None else renewal.voter_set),
         )
         data = _ENCODER.encode(wire)
         return self._seal(data) + data
 
-    def decode(self, data: bytes) -> Said:
+    def decode(self, data: bytes) -> PlanMessage:
         """Raises SaidError."""
         _bounded(SEAL < len(data) <= MOST_BYTES, f"{SEAL} to {MOST_BYTES} bytes, got {len(data)}")
         body = data[SEAL:]
@@ -175,8 +175,8 @@
         try:
             wire = _DECODER.decode(body)
         except (msgspec.DecodeError, msgspec.ValidationError, RecursionError) as problem:
-            raise SaidError(f"expected a word of the council: {problem}") from None
-        _counts(*wire.epoch, wire.renewed)
+            raise PlanMessageError(f"expected a word of the council: {problem}") from None
+        _counts(*wire.epoch, wire.renewals)
         _bounded(0 < len(wire.sender) <= LONGEST and len(wire.pass_on) <= MOST_ON, "a sender and a short list")
         _bounded(0.0 <= wire.age < 1e9, "an age in ms")
         _bounded(len(wire.figures) <= 8 and all(-1.0 <= one < 1e9 for one in wire.figures), "a few figures")
@@ -189,28 +189,28 @@
         word, plan = None, _plan_in(wire.plan)
         if wire.word is not None:
             told = wire.word
-            _counts(told.term, told.number, told.renewed, *told.decided)
-            word = Word(
+            _counts(told.term, told.number, told.renewals, *told.decided)
+            word = CouncilMessage(
                 told.kind,
                 wire.sender,
                 told.term,
                 told.number,
                 _plan_in(told.plan),
                 told.decided,
-                told.renewed,
-                _seats_in(told.seats),
+                told.renewals,
+                _seats_in(told.voter_set),
             )
-        renewal = None if plan is None else Renewal(plan, wire.renewed, wire.age, _seats_in(wire.seats))
-        return Said(wire.sender, wire.epoch, word, renewal, tuple(wire.pass_on), tuple(wire.figures), wire.ways)
+        renewal = None if plan is None else Renewal(plan, wire.renewals, wire.age, _seats_in(wire.voter_set))
+        return PlanMessage(wire.sender, wire.epoch, word, renewal, tuple(wire.pass_on), tuple(wire.figures), wire.ways)
 
 
-def kept(ballot: Ballot) -> bytes:
+def encode_ballot(ballot: Ballot) -> bytes:
     """A ballot as it stands on disk."""
-    data = msgspec.json.encode([ballot.term, ballot.voted, ballot.seats.epoch, ballot.seats.voters])
+    data = msgspec.json.encode([ballot.term, ballot.voted, ballot.voter_set.epoch, ballot.voter_set.voters])
     return b"%08x %s\n" % (zlib.crc32(data), data)
 
 
-def ballot(data: bytes) -> Ballot:
+def decode_ballot(data: bytes) -> Ballot:
     """Raises SaidError on what was torn or spoilt."""
     mark, _, rest = data.partition(b" ")
     rest = rest.rstrip(b"\n")
@@ -218,6 +218,6 @@
     try:
         term, voted, epoch, voters = msgspec.json.decode(rest, type=tuple[int, str, tuple[int, int], list[str]])
     except (msgspec.DecodeError, msgspec.ValidationError) as problem:
-        raise SaidError(f"expected a ballot: {problem}") from None
+        raise PlanMessageError(f"expected a ballot: {problem}") from None
     _counts(term)
     return Ballot(term, voted, _seats_in(_Seats(epoch, voters)))
--- a/sprucespool/failover/council.py
+++ b/sprucespool/failover/council.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seats:
+class VoterSet:
     """Who has a vote, as stated in an epoch; the files' set is of (0, 0)."""
 
     epoch: tuple[int, int] = (0, 0)
@@ -50,11 +50,11 @@
 
     term: int = 0
     voted: str = NOBODY
-    seats: Seats = Seats()
+    voter_set: VoterSet = VoterSet()
 
 
 @dataclass(frozen=True, slots=True)
-class Word:
+class CouncilMessage:
     """Between voters. `may`: would you elect me in this term; `might`: yes; `vote`, `voted`: the same in earnest;
     `beat`: I lead, this is my plan; `held`: I hold it. `number` joins a held to its beat. `seats` as the sender knows
     them."""
@@ -66,22 +66,22 @@
     plan: Plan | None = None
     # Of a beat: the newest plan that most hold, and how often that was renewed.
     decided: tuple[int, int] = (0, 0)
-    renewed: int = 0
-    seats: Seats = Seats()
+    renewals: int = 0
+    voter_set: VoterSet = VoterSet()
 
 
 @dataclass(frozen=True, slots=True)
-class Keep:
+class StoreBallot:
     ballot: Ballot
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendToVoter:
     to: str
-    word: Word
+    message: CouncilMessage
 
 
-Effect = Keep | Tell
+Effect = StoreBallot | SendToVoter
 
 
 @dataclass(frozen=True, slots=True)
@@ -89,9 +89,9 @@
     """Rides to all controllers: the plan in force and how often it was renewed; `age` of the renewal in ms."""
 
     plan: Plan
-    renewed: int
+    renewals: int
     age: float
-    seats: Seats = Seats()
+    voter_set: VoterSet = VoterSet()
 
 
 @dataclass(frozen=True, slots=True)
@@ -106,7 +106,7 @@
     # Without a renewal for so long a controller goes by the safe plan.
     hold: float = 8_000.0
     # A voter that lost what it kept gives no vote before, so that any term it may have voted in is over.
-    forgetful: float = 10_000.0
+    lost_ballot_wait: float = 10_000.0
 
 
 @dataclass(slots=True, eq=False)
@@ -117,7 +117,7 @@
     name: str
     voters: tuple[str, ...]
     seed: int = 1
-    kept: Ballot | None = None
+    stored_ballot: Ballot | None = None
     limits: CouncilLimits = field(default_factory=CouncilLimits)
     now: float = 0.0
     role: str = "follower"
@@ -126,41 +126,41 @@
     # The newest plan held, whoever decided it; the one in force here, and its renewals.
     plan: Plan | None = None
     decided: Plan | None = None
-    renewed: int = 0
+    renewals: int = 0
     renewed_at: float = -math.inf
-    heard_at: float = -math.inf
-    begun_at: float = math.nan
-    wait_until: float = math.inf
+    last_beat_at: float = -math.inf
+    started_at: float = math.nan
+    election_at: float = math.inf
     beat_at: float = math.inf
     number: int = 0
     drawn: int = 0
-    yes: set[str] = field(default_factory=set)
+    votes_received: set[str] = field(default_factory=set)
     # At the leader: beats that are out, when each was sent, who answered.
     beats: dict[int, tuple[float, tuple[int, int]]] = field(default_factory=dict)
     answers: dict[int, set[str]] = field(default_factory=dict)
     lease_until: float = -math.inf
     # At the leader: the newest set of voters that most of it hold.
-    seated: tuple[int, int] = (-1, -1)
+    agreed_epoch: tuple[int, int] = (-1, -1)
 
     def __post_init__(self):
-        self.ballot = self.kept or Ballot()
-        if not self.ballot.seats.voters:
-            self.ballot = replace(self.ballot, seats=Seats((0, 0), self.voters))
-        self.voters = self.seats.voters
+        self.ballot = self.stored_ballot or Ballot()
+        if not self.ballot.voter_set.voters:
+            self.ballot = replace(self.ballot, voter_set=VoterSet((0, 0), self.voters))
+        self.voters = self.voter_set.voters
 
     # Reading
 
     @property
-    def votes(self) -> bool:
+    def is_voter(self) -> bool:
         return self.name in self.voters
 
     @property
-    def seats(self) -> Seats:
-        return self.ballot.seats
+    def voter_set(self) -> VoterSet:
+        return self.ballot.voter_set
 
     @property
     def majority(self) -> int:
-        return self.seats.majority
+        return self.voter_set.majority
 
     def leads(self, now: float) -> bool:
         """Most voters heard this leader a moment ago, by its own clock from when it spoke."""
@@ -174,11 +174,11 @@
         """What rides to all others."""
         if self.decided is None or now - self.renewed_at >= self.limits.hold:
             return None
-        return Renewal(self.decided, self.renewed, max(0.0, now - self.renewed_at), self.seats)
+        return Renewal(self.decided, self.renewals, max(0.0, now - self.renewed_at), self.voter_set)
 
     def due(self) -> float:
         # Who lost its vote has nothing to wait for: a wait of before would be due for ever.
-        return min(self.wait_until, self.beat_at) if self.votes else math.inf
+        return min(self.election_at, self.beat_at) if self.is_voter else math.inf
 
     # Time
 
@@ -188,46 +188,46 @@
 
     def _wait(self, now: float):
         limits = self.limits
-        self.wait_until = now + limits.least_wait + self._chance(limits.most_wait - limits.least_wait)
+        self.election_at = now + limits.least_wait + self._chance(limits.most_wait - limits.least_wait)
 
     def tick(self, now: float) -> list[Effect]:
         self.now = now = max(self.now, now)
-        if not self.votes:
+        if not self.is_voter:
             return []
-        if math.isnan(self.begun_at):
-            self.begun_at = now
+        if math.isnan(self.started_at):
+            self.started_at = now
             self._wait(now)
         if self.role == "leader":
             if now >= self.lease_until + self.limits.lease:
                 # Most have not answered for long: there may be another by now.
                 return self._step_down(now)
             return self._beat(now) if now >= self.beat_at else []
-        if now >= self.wait_until:
+        if now >= self.election_at:
             self._wait(now)
-            return self._ask(now)
+            return self._request_pre_votes(now)
         return []
 
     def _may_vote(self, now: float) -> bool:
-        return self.kept is not None or now - self.begun_at >= self.limits.forgetful
+        return self.stored_ballot is not None or now - self.started_at >= self.limits.lost_ballot_wait
 
-    def _ask(self, now: float) -> list[Effect]:
+    def _request_pre_votes(self, now: float) -> list[Effect]:
         """First whether others would: who is cut off raises no terms."""
         if not self._may_vote(now):
             return []
-        self.role, self.leader, self.yes = "asking", NOBODY, {self.name}
-        word = Word("may", self.name, self.ballot.term + 1, seats=self.seats)
-        return self._to_others(word) + (self._stand(now) if len(self.yes) >= self.majority else [])
+        self.role, self.leader, self.votes_received = "asking", NOBODY, {self.name}
+        word = CouncilMessage("may", self.name, self.ballot.term + 1, voter_set=self.voter_set)
+        return self._to_others(word) + (self._start_election(now) if len(self.votes_received) >= self.majority else [])
 
-    def _stand(self, now: float) -> list[Effect]:
-        self.role, self.yes = "candidate", {self.name}
-        self._keep(replace(self.ballot, term=self.ballot.term + 1, voted=self.name))
+    def _start_election(self, now: float) -> list[Effect]:
+        self.role, self.votes_received = "candidate", {self.name}
+        self._store_ballot(replace(self.ballot, term=self.ballot.term + 1, voted=self.name))
         effects: list[Effect] = [
-            Keep(self.ballot),
-            *self._to_others(Word("vote", self.name, self.ballot.term, seats=self.seats)),
+            StoreBallot(self.ballot),
+            *self._to_others(CouncilMessage("vote", self.name, self.ballot.term, voter_set=self.voter_set)),
         ]
-        return effects + (self._lead(now) if len(self.yes) >= self.majority else [])
+        return effects + (self._become_leader(now) if len(self.votes_received) >= self.majority else [])
 
-    def _lead(self, now: float) -> list[Effect]:
+    def _become_leader(self, now: float) -> list[Effect]:
         self.role, self.leader, self.number = "leader", self.name, 0
         self.beats.clear()
         self.answers.clear()
@@ -236,27 +236,27 @@
         held = max(plans, key=lambda one: one.epoch, default=None)
         self.plan = replace(held, epoch=(self.ballot.term, 1)) if held is not None else None
         self.lease_until = now + self.limits.lease
-        self.wait_until = math.inf
-        self._keep(replace(self.ballot, seats=replace(self.seats, epoch=(self.ballot.term, 1))))
-        return [Keep(self.ballot), *self._beat(now)]
+        self.election_at = math.inf
+        self._store_ballot(replace(self.ballot, voter_set=replace(self.voter_set, epoch=(self.ballot.term, 1))))
+        return [StoreBallot(self.ballot), *self._beat(now)]
 
-    def reseat(self, now: float, voters: tuple[str, ...]) -> list[Effect]:
+    def change_voters(self, now: float, voters: tuple[str, ...]) -> list[Effect]:
         """At the leader: these are to have a vote, one more or one less than now. Nothing happens elsewhere, or while
         most do not yet hold the set before."""
         self.now = now = max(self.now, now)
         if (
             self.role != "leader"
-            or self.seated != self.seats.epoch
+            or self.agreed_epoch != self.voter_set.epoch
             or self.name not in voters
             or len(set(voters) ^ set(self.voters)) != 1
         ):
             return []
-        term, number = self.seats.epoch
-        self._keep(replace(self.ballot, seats=Seats((term, number + 1), tuple(sorted(voters)))))
+        term, number = self.voter_set.epoch
+        self._store_ballot(replace(self.ballot, voter_set=VoterSet((term, number + 1), tuple(sorted(voters)))))
         # Answers to what was said under the set before count no more.
         self.beats.clear()
         self.answers.clear()
-        return [Keep(self.ballot), *self._beat(now)]
+        return [StoreBallot(self.ballot), *self._beat(now)]
 
     def _step_down(self, now: float) -> list[Effect]:
         self.role, self.leader, self.beat_at = "follower", NOBODY, math.inf
@@ -265,12 +265,12 @@
         self._wait(now)
         return []
 
-    def _keep(self, ballot: Ballot):
-        self.ballot = self.kept = ballot
-        self.voters = ballot.seats.voters
+    def _store_ballot(self, ballot: Ballot):
+        self.ballot = self.stored_ballot = ballot
+        self.voters = ballot.voter_set.voters
 
-    def _to_others(self, word: Word) -> list[Effect]:
-        return [Tell(voter, word) for voter in self.voters if voter != self.name]
+    def _to_others(self, word: CouncilMessage) -> list[Effect]:
+        return [SendToVoter(voter, word) for voter in self.voters if voter != self.name]
 
     # The leader
 
@@ -292,137 +292,145 @@
         for old in [number for number in self.beats if number <= self.number - 32]:
             del self.beats[old], self.answers[old]
         effects = self._to_others(
-            Word(
+            CouncilMessage(
                 "beat",
                 self.name,
                 self.ballot.term,
                 self.number,
                 self.plan,
                 self.decided.epoch if self.decided is not None else (0, 0),
-                self.renewed,
-                self.seats,
+                self.renewals,
+                self.voter_set,
             )
         )
-        self._counted(self.number)
+        self._count_answers(self.number)
         return effects
 
-    def _counted(self, number: int):
+    def _count_answers(self, number: int):
         """Most voters answered a beat: the leader leads from when it was sent, the plan of it is in force."""
         if len(self.answers[number]) < self.majority:
             return
         sent, epoch = self.beats[number]
-        self.seated = self.seats.epoch
+        self.agreed_epoch = self.voter_set.epoch
         self.lease_until = max(self.lease_until, sent + self.limits.lease)
         if self.plan is None or epoch != self.plan.epoch:
             return
         if self.decided is None or self.decided.epoch < epoch:
-            self.decided, self.renewed = self.plan, 0
+            self.decided, self.renewals = self.plan, 0
         if sent > self.renewed_at:
-            self.renewed += 1
+            self.renewals += 1
             self.renewed_at = sent
 
     # Hearing
 
-    def heard(self, now: float, word: Word) -> list[Effect]:
+    def receive(self, now: float, word: CouncilMessage) -> list[Effect]:
         self.now = now = max(self.now, now)
         asks = word.kind in ("may", "vote", "beat")
-        seats = word.seats if asks and word.seats.epoch >= self.seats.epoch and word.seats.voters else self.seats
-        if word.sender == self.name or word.sender not in seats.voters or self.name not in seats.voters:
+        voter_set = (
+            word.voter_set
+            if asks and word.voter_set.epoch >= self.voter_set.epoch and word.voter_set.voters
+            else self.voter_set
+        )
+        if word.sender == self.name or word.sender not in voter_set.voters or self.name not in voter_set.voters:
             return []
-        if math.isnan(self.begun_at):
-            self.begun_at = now
+        if math.isnan(self.started_at):
+            self.started_at = now
             self._wait(now)
         if word.kind == "may":
-            return self._would(now, word)
+            return self._on_pre_vote(now, word)
         if word.kind == "might":
             if self.role == "asking" and word.term == self.ballot.term + 1:
-                self.yes.add(word.sender)
-                if len(self.yes) >= self.majority:
-                    return self._stand(now)
+                self.votes_received.add(word.sender)
+                if len(self.votes_received) >= self.majority:
+                    return self._start_election(now)
             return []
         if word.term < self.ballot.term:
             # Who speaks in an old term hears of the newer one, and steps down.
-            return [Tell(word.sender, Word("held", self.name, self.ballot.term))] if word.kind == "beat" else []
+            return (
+                [SendToVoter(word.sender, CouncilMessage("held", self.name, self.ballot.term))]
+                if word.kind == "beat"
+                else []
+            )
         effects: list[Effect] = []
         if word.kind == "vote":
-            return self._elect(now, word)
-        if word.term > self.ballot.term or seats.epoch > self.seats.epoch:
+            return self._on_vote(now, word)
+        if word.term > self.ballot.term or voter_set.epoch > self.voter_set.epoch:
             # Who hears a leader gives nobody else its vote in that term, whatever it may have forgotten.
             voted = word.sender if word.kind == "beat" else NOBODY
             raised = word.term > self.ballot.term
-            self._keep(Ballot(word.term, voted if raised else self.ballot.voted, seats))
-            effects.append(Keep(self.ballot))
+            self._store_ballot(Ballot(word.term, voted if raised else self.ballot.voted, voter_set))
+            effects.append(StoreBallot(self.ballot))
             if self.role != "follower":
                 self._step_down(now)
         if word.kind == "voted":
             if self.role == "candidate" and word.term == self.ballot.term:
-                self.yes.add(word.sender)
-                if len(self.yes) >= self.majority:
-                    effects += self._lead(now)
+                self.votes_received.add(word.sender)
+                if len(self.votes_received) >= self.majority:
+                    effects += self._become_leader(now)
         elif word.kind == "beat":
-            effects += self._follow(now, word)
+            effects += self._on_beat(now, word)
         elif word.kind == "held" and self.role == "leader" and word.number in self.answers:
             self.answers[word.number].add(word.sender)
-            self._counted(word.number)
+            self._count_answers(word.number)
         return effects
 
-    def _quiet(self, now: float) -> bool:
+    def _no_leader_alive(self, now: float) -> bool:
         """No leader was heard for so long that its lease is over by any clock."""
-        return now - self.heard_at >= self.limits.lease * (1 + self.limits.drift) and not self.leads(now)
+        return now - self.last_beat_at >= self.limits.lease * (1 + self.limits.drift) and not self.leads(now)
 
-    def _would(self, now: float, word: Word) -> list[Effect]:
+    def _on_pre_vote(self, now: float, word: CouncilMessage) -> list[Effect]:
         if (
             word.term > self.ballot.term
-            and word.seats.epoch >= self.seats.epoch
-            and self._quiet(now)
+            and word.voter_set.epoch >= self.voter_set.epoch
+            and self._no_leader_alive(now)
             and self._may_vote(now)
         ):
-            return [Tell(word.sender, Word("might", self.name, word.term))]
+            return [SendToVoter(word.sender, CouncilMessage("might", self.name, word.term))]
         return []
 
-    def _elect(self, now: float, word: Word) -> list[Effect]:
-        if word.seats.epoch < self.seats.epoch:
+    def _on_vote(self, now: float, word: CouncilMessage) -> list[Effect]:
+        if word.voter_set.epoch < self.voter_set.epoch:
             return []  # a set of voters that it does not know may have been agreed on
         if (
             not self._may_vote(now)
-            or not self._quiet(now)
+            or not self._no_leader_alive(now)
             or word.term <= self.ballot.term
             and not (word.term == self.ballot.term and self.ballot.voted in (NOBODY, word.sender))
         ):
             return []
         if self.role != "follower":
             self._step_down(now)
-        self._keep(replace(self.ballot, term=word.term, voted=word.sender))
+        self._store_ballot(replace(self.ballot, term=word.term, voted=word.sender))
         self._wait(now)
-        return [Keep(self.ballot), Tell(word.sender, Word("voted", self.name, word.term))]
+        return [StoreBallot(self.ballot), SendToVoter(word.sender, CouncilMessage("voted", self.name, word.term))]
 
-    def _follow(self, now: float, word: Word) -> list[Effect]:
+    def _on_beat(self, now: float, word: CouncilMessage) -> list[Effect]:
         if self.role == "leader":
             return []  # two of one term: never, and if it were, neither yields to the other's word
-        self.role, self.leader, self.heard_at = "follower", word.sender, now
+        self.role, self.leader, self.last_beat_at = "follower", word.sender, now
         self._wait(now)
         if word.plan is not None and (self.plan is None or word.plan.epoch > self.plan.epoch):
             self.plan = word.plan
         if self.plan is not None and word.decided == self.plan.epoch:
-            self.learn(now, Renewal(self.plan, word.renewed, 0.0))
-        return [Tell(word.sender, Word("held", self.name, word.term, word.number))]
+            self.learn(now, Renewal(self.plan, word.renewals, 0.0))
+        return [SendToVoter(word.sender, CouncilMessage("held", self.name, word.term, word.number))]
 
     def learn(self, now: float, told: Renewal) -> bool:
         """What rides on others' words: a plan in force. True if it was newer. Never back to an earlier epoch."""
         self.now = now = max(self.now, now)
-        if told.seats.epoch > self.seats.epoch and told.seats.voters:
+        if told.voter_set.epoch > self.voter_set.epoch and told.voter_set.voters:
             # Not kept on disk: it answered nobody by it.
-            self.ballot = replace(self.ballot, seats=told.seats)
-            self.voters = told.seats.voters
+            self.ballot = replace(self.ballot, voter_set=told.voter_set)
+            self.voters = told.voter_set.voters
             if self.role != "follower":
                 self._step_down(now)
         held = self.decided
-        if held is not None and (told.plan.epoch, told.renewed) <= (held.epoch, self.renewed):
+        if held is not None and (told.plan.epoch, told.renewals) <= (held.epoch, self.renewals):
             return False
         if held is not None and told.plan.epoch == held.epoch and told.plan != held:
             return False
         newer = held is None or told.plan.epoch > held.epoch
-        self.decided, self.renewed = (told.plan if newer else held), told.renewed
+        self.decided, self.renewals = (told.plan if newer else held), told.renewals
         self.renewed_at = max(now - told.age, self.renewed_at) if not newer else now - told.age
         if self.plan is None or self.plan.epoch < told.plan.epoch:
             self.plan = told.plan
--- a/sprucespool/failover/failover.py
+++ b/sprucespool/failover/failover.py
@@ -10,18 +10,18 @@
 from dataclasses import dataclass, field, replace
 from typing import ClassVar
 
-from sprucespool.failover.council import Ballot, Council, CouncilLimits, Effect, Renewal, Word
+from sprucespool.failover.council import Ballot, Council, CouncilLimits, CouncilMessage, Effect, Renewal
 from sprucespool.failover.meter import Meter
-from sprucespool.failover.plan import Plan, faults, near
-from sprucespool.failover.planner import Planner, PlannerLimits, ZoneState, safe
-from sprucespool.failover.seating import Seating
+from sprucespool.failover.plan import Plan, home_plan, plan_errors
+from sprucespool.failover.planner import Planner, PlannerLimits, ZoneState, fallback_plan
 from sprucespool.failover.topology import Topology
+from sprucespool.failover.voter_selection import VoterSelection
 
 LOOK_EVERY = 500.0
 
 
 @dataclass(frozen=True, slots=True)
-class Turned:
+class FailoverEvent:
     """`kind`: follows (a decided plan), alone (no word of any: the safe one), leads, led, refused (a told plan), seats
     (others have a vote)."""
 
@@ -38,7 +38,7 @@
     name: str
     topology: Topology
     voters: tuple[str, ...]
-    kept: Ballot | None = None
+    stored_ballot: Ballot | None = None
     seed: int = 1
     council_limits: CouncilLimits = field(default_factory=CouncilLimits)
     planner_limits: PlannerLimits = field(default_factory=PlannerLimits)
@@ -47,29 +47,29 @@
     states: dict[str, ZoneState] = field(default_factory=dict)
 
     def __post_init__(self):
-        self.council = Council(self.name, self.voters, self.seed, self.kept, self.council_limits)
+        self.council = Council(self.name, self.voters, self.seed, self.stored_ballot, self.council_limits)
         self.planner = Planner(self.topology, self.planner_limits)
-        self.seating = Seating(self.topology, len(self.voters), self.replace_after)
+        self.seating = VoterSelection(self.topology, len(self.voters), self.replace_after)
         # The zone of each member that may have a vote.
         self.places: dict[str, str] = {}
-        self.seated = self.council.voters
+        self.reported_voters = self.council.voters
         self.now, self.look_at = 0.0, 0.0
         self.leading, self.epoch = False, (0, 0)
-        self.events: list[Turned] = []
+        self.events: list[FailoverEvent] = []
         self._safe: Plan | None = None
 
     # What happens
 
-    def know(self, now: float, states: Mapping[str, ZoneState]) -> None:
+    def update_states(self, now: float, states: Mapping[str, ZoneState]) -> None:
         self.now = max(self.now, now)
         self.states, self._safe = dict(states), None
 
-    def know_members(self, places: Mapping[str, str]) -> None:
+    def update_members(self, places: Mapping[str, str]) -> None:
         """The zone of each member that is there, serves and speaks of plans, the own one among them."""
         self.places = dict(places)
 
     @property
-    def wanted(self) -> frozenset[str]:
+    def requested_drains(self) -> frozenset[str]:
         """Zones that operators want empty, as far as this one knows."""
         plan = self.council.plan
         return self.planner.drained if self.leading or plan is None else frozenset(plan.drained)
@@ -79,7 +79,7 @@
         overload the rest."""
         if zone not in self.topology.regions:
             return f"no zone {zone}: expected one of {', '.join(self.topology.zones)}"
-        zones = self.wanted | {zone} if away else self.wanted - {zone}
+        zones = self.requested_drains | {zone} if away else self.requested_drains - {zone}
         if force or not away:
             self.planner.drained = zones
             return ""
@@ -94,16 +94,16 @@
         self.planner.drained = zones
         return ""
 
-    def heard(self, now: float, word: Word) -> list[Effect]:
+    def receive(self, now: float, word: CouncilMessage) -> list[Effect]:
         self.now = max(self.now, now)
-        if word.plan is not None and (wrong := faults(word.plan, self.topology)):
+        if word.plan is not None and (wrong := plan_errors(word.plan, self.topology)):
             self._event("refused", word.plan.epoch, f"{word.sender}: {wrong[0]}")
             word = replace(word, plan=None)
-        return self.council.heard(now, word)
+        return self.council.receive(now, word)
 
-    def rode(self, now: float, told: Renewal) -> None:
+    def receive_renewal(self, now: float, told: Renewal) -> None:
         self.now = max(self.now, now)
-        if wrong := faults(told.plan, self.topology):
+        if wrong := plan_errors(told.plan, self.topology):
             return self._event("refused", told.plan.epoch, wrong[0])
         self.council.learn(now, told)
 
@@ -126,18 +126,18 @@
             self.look_at = now + LOOK_EVERY
             if leads and self.states:
                 held = self.council.plan
-                before = held if held is not None else near(self.topology.zones)
+                before = held if held is not None else home_plan(self.topology.zones)
                 new = self.planner.next(now, self.states, before)
                 if new is not None or held is None:
                     effects += self.council.propose(now, new if new is not None else before)
-            if self.council.votes and self.places:
+            if self.council.is_voter and self.places:
                 if not leads:
                     self.seating.watch(now, self.council.voters, self.places)
                 elif voters := self.seating.next(now, self.name, self.council.voters, self.places):
-                    effects += self.council.reseat(now, voters)
-        if self.council.voters != self.seated:
-            self.seated = self.council.voters
-            self._event("seats", self.council.seats.epoch, ", ".join(self.seated))
+                    effects += self.council.change_voters(now, voters)
+        if self.council.voters != self.reported_voters:
+            self.reported_voters = self.council.voters
+            self._event("seats", self.council.voter_set.epoch, ", ".join(self.reported_voters))
         followed = self.council.in_force(now)
         epoch = followed.epoch if followed is not None else (0, 0)
         if epoch != self.epoch:
@@ -150,7 +150,7 @@
         return effects
 
     def _event(self, kind: str, epoch: tuple[int, int], why: str = ""):
-        self.events.append(Turned(kind, self.now, epoch, why))
+        self.events.append(FailoverEvent(kind, self.now, epoch, why))
 
     # What is to be done
 
@@ -161,9 +161,9 @@
             return found
         # Once for what is known: each inference asks, also when nobody tells a plan.
         if self._safe is None:
-            self._safe = safe(self.topology, self.states)
+            self._safe = fallback_plan(self.topology, self.states)
         return self._safe
 
-    def take_events(self) -> list[Turned]:
+    def take_events(self) -> list[FailoverEvent]:
         events, self.events = self.events, []
         return events
--- a/sprucespool/failover/gauge.py
+++ b/sprucespool/failover/gauge.py
@@ -11,14 +11,14 @@
 from dataclasses import dataclass, field, replace
 
 from sprucespool.failover.plan import Plan
-from sprucespool.failover.planner import ZoneState, carries
+from sprucespool.failover.planner import ZoneState, zone_loads
 from sprucespool.failover.topology import Topology
 
 MOST_MEMBERS = 4_096
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class ServingInvoker:
     """An invoker that serves. `age`: ms it runs, None where nobody told; `ill`: others cannot reach it."""
 
     zone: str
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Loaded:
+class LoadReport:
     """A controller's word: cores asked by what enters at it, cores that its own zone did for it, the parts of what it
     sent there that came back, and that came in SLO time (-1: not known). `at`: when it said so, None where that is not
     known."""
@@ -41,7 +41,7 @@
     well: float = -1.0
     soon: float = -1.0
     name: str = ""
-    at: float | None = None
+    reported_at: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,7 +58,7 @@
     least_trust: float = 0.04
     # Believed again twice as much at a time while so much comes back, and in time: of a trickle all comes back from
     # invokers that are ten times too slow for more. After each relapse the steps are twice as long, up to the most.
-    regain_every: float = 3_000.0
+    regain_interval: float = 3_000.0
     regain_most: float = 24_000.0
     # While less than this part of all capacity is believed, the fault is none of a zone's (a library that is slow, a
     # cold start): all of them are used, or most would be shed for what no other zone does better.
@@ -83,13 +83,13 @@
     """The figures of each member: told directly of late, or else by its row in the group. Among 300 a row's word is
     half a minute old when it comes: taken for newer than what was told directly, it hid most of the load."""
 
-    most: int = 4_096
+    max_members: int = 4_096
     # ms that what was told directly counts: two tellings may be missed.
     fresh: float = 12_000.0
     direct: dict[str, tuple[tuple[float, ...], float]] = field(default_factory=dict)
 
-    def heard(self, now: float, name: str, figures: tuple[float, ...]) -> None:
-        if name in self.direct or len(self.direct) < self.most:
+    def receive(self, now: float, name: str, figures: tuple[float, ...]) -> None:
+        if name in self.direct or len(self.direct) < self.max_members:
             self.direct[name] = figures, now
 
     def of(self, now: float, name: str, row: tuple[float, ...]) -> tuple[tuple[float, ...], float | None]:
@@ -112,7 +112,7 @@
     trust: dict[str, float] = field(default_factory=dict)
     changed: dict[str, float] = field(default_factory=dict)
     # By zone: how long a step back to being believed takes, and whether one was taken since the last fall.
-    steps: dict[str, float] = field(default_factory=dict)
+    regain_steps: dict[str, float] = field(default_factory=dict)
     regained: set[str] = field(default_factory=set)
     # By zone: what is asked (free, bound), evened out; when that was.
     asked: dict[str, tuple[float, float]] = field(default_factory=dict)
@@ -126,7 +126,7 @@
     last: dict[str, tuple[str, float, float]] = field(default_factory=dict)
 
     def states(
-        self, now: float, standing: Iterable[Standing], loaded: Iterable[Loaded], plan: Plan | None = None
+        self, now: float, standing: Iterable[ServingInvoker], loaded: Iterable[LoadReport], plan: Plan | None = None
     ) -> dict[str, ZoneState]:
         """The state of each zone of the topology; what stands in no known zone counts nowhere. `plan`: in force."""
         limits, zones = self.limits, self.topology.zones
@@ -187,14 +187,14 @@
             )
             for zone in zones
         }
-        carried = carries(states, plan) if plan is not None else {}
+        carried = zone_loads(states, plan) if plan is not None else {}
         for zone in zones:
             # The middle one's word: a single controller that lies or is ill itself makes no zone grey.
             heard = sorted(well for well, _ in said[zone])
             soon = sorted(soon for _, soon in said[zone])
             if heard and takes[zone] > 0:
                 # What others' traffic gets there is as much of its part as what the own traffic gets.
-                own = carries({zone: states[zone]}, plan).get(zone, 0.0) if plan is not None else 0.0
+                own = zone_loads({zone: states[zone]}, plan).get(zone, 0.0) if plan is not None else 0.0
                 does = did[zone] * (carried[zone] / own if own > 0 else 1.0)
                 self._weigh(now, zone, heard[len(heard) // 2], soon[len(soon) // 2], min(1.0, does / takes[zone]))
         believed = sum(takes[zone] * self.trust.get(zone, 1.0) for zone in zones)
@@ -202,11 +202,11 @@
             return states
         return {zone: replace(state, trust=round(self.trust.get(zone, 1.0), 2)) for zone, state in states.items()}
 
-    def _since(self, now: float, told: Loaded) -> bool:
+    def _since(self, now: float, told: LoadReport) -> bool:
         """Whether it speaks of who stands there now. Seen: a zone that was lost came back, and for 16 s got a
         twenty-fifth of its traffic by what members had said of the ones before."""
         empty = self.empty.get(told.zone, -math.inf)
-        return told.at > empty if told.at is not None else now - empty > self.limits.remember
+        return told.reported_at > empty if told.reported_at is not None else now - empty > self.limits.remember
 
     def _even(self, now: float, free: Mapping[str, float], bound: Mapping[str, float]):
         since = math.inf if math.isnan(self.asked_at) else max(0.0, now - self.asked_at)
@@ -219,15 +219,15 @@
 
     def _weigh(self, now: float, zone: str, well: float, soon: float, does: float):
         trust, limits = self.trust.get(zone, 1.0), self.limits
-        step = self.steps.get(zone, limits.regain_every)
+        step = self.regain_steps.get(zone, limits.regain_interval)
         if well < limits.grey and trust > max(limits.least_trust, does) + 0.05:
             self.trust[zone], self.changed[zone] = max(limits.least_trust, does), now
             if zone in self.regained:
                 self.regained.discard(zone)
-                self.steps[zone] = min(limits.regain_most, 2 * step)
+                self.regain_steps[zone] = min(limits.regain_most, 2 * step)
         elif trust < 1.0 and min(well, soon) >= limits.well and now - self.changed.get(zone, 0.0) >= step:
             self.trust[zone], self.changed[zone] = min(1.0, 2.0 * trust), now
             self.regained.add(zone)
         elif trust == 1.0 and now - self.changed.get(zone, now) >= limits.forgive:
-            self.steps.pop(zone, None)
+            self.regain_steps.pop(zone, None)
             self.regained.discard(zone)
--- a/sprucespool/failover/meter.py
+++ b/sprucespool/failover/meter.py
@@ -32,8 +32,8 @@
     tell_every: float = 500.0
     # And again after so long, moved or not: where each of hundreds has a few inferences a second, nothing ever moves
     # beyond chance, and those who plan saw 0.6 of what was asked for the first half minute.
-    tell_again: float = 5_000.0
-    runs: dict[str, float] = field(default_factory=dict)
+    max_report_interval: float = 5_000.0
+    run_times: dict[str, float] = field(default_factory=dict)
     seen: dict[str, int] = field(default_factory=dict)
     _came: deque[tuple[float, bool, str]] = field(default_factory=deque)
     # When a forward home ended, whether in SLO time, whether it came back at all, the work it did (ms of a core),
@@ -44,7 +44,7 @@
 
     def arrived(self, now: float, group: str, bound: bool, guess: float) -> None:
         """`guess` is how long one of this model group runs, where none was seen yet."""
-        self.runs.setdefault(group, guess)
+        self.run_times.setdefault(group, guess)
         self._came.append((now, bound, group))
         self._forget(now)
 
@@ -60,16 +60,16 @@
                 now,
                 returned and elapsed <= slo,
                 returned,
-                self.runs.get(group, 0.0) if returned else 0.0,
+                self.run_times.get(group, 0.0) if returned else 0.0,
                 returned and not warm,
             )
         )
         self._forget(now)
-        if returned and warm and group in self.runs and (elapsed <= self.runs[group] or self._calm()):
-            usual, self.seen[group] = self.runs[group], self.seen.get(group, 0) + 1
+        if returned and warm and group in self.run_times and (elapsed <= self.run_times[group] or self._calm()):
+            usual, self.seen[group] = self.run_times[group], self.seen.get(group, 0) + 1
             # In long strides at first, as the guess may be far off.
             step = max(self.step, 0.5 / self.seen[group])
-            self.runs[group] = max(
+            self.run_times[group] = max(
                 1.0, usual * (1.0 + step * (self.quantile if elapsed > usual else self.quantile - 1.0))
             )
 
@@ -88,14 +88,14 @@
         ):
             self._ends.popleft()
 
-    def figures(self, now: float) -> tuple[float, float, float, float, float]:
+    def measure(self, now: float) -> tuple[float, float, float, float, float]:
         """(free, bound, did, well, soon): cores that arriving inferences ask, cores that home did for this controller,
         the part of forwards home that came back, and that came in SLO time; -1 where that is not known. Late ones are
         no sign of ill invokers: cold models and queues make them as well."""
         self._forget(now)
         asked = [0.0, 0.0]
         for _, bound, group in self._came:
-            asked[bound] += self.runs[group]
+            asked[bound] += self.run_times[group]
         did = sum(work for at, _, _, work, _ in self._ends if at >= now - self.window) / self.window
         well, soon = self._home()
         return (
@@ -117,24 +117,26 @@
         judged = [one[1] for one in newest if one[1] or not one[4]]
         return back / len(newest), sum(judged) / len(judged) if judged else -1.0
 
-    def emptied(self) -> None:
+    def forget_outcomes(self) -> None:
         """Nothing stands at home: what was seen there says nothing of who will."""
         self._ends.clear()
 
-    def news(self, now: float) -> tuple[float, float, float, float, float] | None:
+    def report_if_due(self, now: float) -> tuple[float, float, float, float, float] | None:
         """The figures, where those who plan ought to hear of them at once: the group's own news may take a minute among
         hundreds. What chance makes of a few arrivals is no news."""
         since = now - self._told_at
         if since < self.tell_every or not self._came and math.isinf(since):
             return None
-        found, before = self.figures(now), self._told
+        found, before = self.measure(now), self._told
         asked, said = found[0] + found[1], before[0] + before[1]
-        usual = max(self.runs.values(), default=0.0)
+        usual = max(self.run_times.values(), default=0.0)
         # By the larger of both counts: else a lull is news and a rush is not, and all that is told is too little.
         count = max(1.0, len(self._came), said * self.window / usual if usual > 0 else 0.0)
         noise = self.chance * math.sqrt(count) * usual / self.window
         turned = found[3] >= 0 and before[3] >= 0 and (found[3] < 0.5) is not (before[3] < 0.5)
-        told_lately = since < self.tell_again and (not math.isinf(since) or now - self._came[0][0] < 0.9 * self.window)
+        told_lately = since < self.max_report_interval and (
+            not math.isinf(since) or now - self._came[0][0] < 0.9 * self.window
+        )
         if told_lately and abs(asked - said) <= max(self.moved * max(asked, said), noise) and not turned:
             return None
         self._told, self._told_at = found, now
--- a/sprucespool/failover/plan.py
+++ b/sprucespool/failover/plan.py
@@ -25,7 +25,7 @@
     reason: str = ""
     drained: tuple[str, ...] = ()
 
-    def part(self, zone: str, to: str, bound: bool = False) -> float:
+    def share(self, zone: str, to: str, bound: bool = False) -> float:
         return (self.bound if bound else self.free).get(zone, {}).get(to, 0.0)
 
 
@@ -43,7 +43,7 @@
     return found
 
 
-def near(zones: Iterable[str], reason: str = "all near") -> Plan:
+def home_plan(zones: Iterable[str], reason: str = "all near") -> Plan:
     """The plan of whoever knows nothing better: everybody stays at home. Nobody's, so that any other replaces it."""
     home = {zone: {zone: 1.0} for zone in sorted(zones)}
     return Plan((0, 0), home, {zone: dict(row) for zone, row in home.items()}, {}, reason)
@@ -58,7 +58,7 @@
     return worst
 
 
-def faults(plan: Plan, topology: Topology) -> list[str]:
+def plan_errors(plan: Plan, topology: Topology) -> list[str]:
     """What is wrong with a plan that somebody tells: parts out of bounds, sums above 1, `bound` leaving its region,
     zones that nobody knows. An empty list: it can be followed."""
     wrong = []
--- a/sprucespool/failover/planner.py
+++ b/sprucespool/failover/planner.py
@@ -11,8 +11,8 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field, replace
 
-from sprucespool.failover.plan import Plan, Shares, distance, near, rounded
-from sprucespool.failover.solver import Asked, Placed, place
+from sprucespool.failover.plan import Plan, Shares, distance, home_plan, rounded
+from sprucespool.failover.solver import Demand, Placement, place
 from sprucespool.failover.topology import Topology
 
 
@@ -69,7 +69,7 @@
         fill it to `own_most`; others' only to `far_most` of what is warm, so that one more loss finds room."""
         limits = self.limits
         own: dict[str, tuple[float, float]] = {}
-        left: dict[str, Asked] = {}
+        left: dict[str, Demand] = {}
         room: dict[str, float] = {}
         for zone in self.topology.zones:
             state = states.get(zone, ZoneState(zone, 0.0, 0.0))
@@ -78,7 +78,7 @@
             bound = min(state.bound, takes)
             free = min(state.free, takes - bound)
             own[zone] = free, bound
-            left[zone] = Asked(state.free - free, state.bound - bound)
+            left[zone] = Demand(state.free - free, state.bound - bound)
             room[zone] = max(0.0, open_to * limits.far_most - free - bound)
         far = self._place(left, dict(room), {zone: states[zone].now * states[zone].trust for zone in states})
         frees: Shares = {}
@@ -90,7 +90,7 @@
         caps = {zone: round(own[zone][0] + own[zone][1] + room[zone], 3) for zone in self.topology.zones}
         return rounded(frees), rounded(bounds), caps, far.shed
 
-    def _place(self, left: dict[str, Asked], room: dict[str, float], takes: Mapping[str, float]) -> Placed:
+    def _place(self, left: dict[str, Demand], room: dict[str, float], takes: Mapping[str, float]) -> Placement:
         """Level by level: a zone is filled to the brim only when all others are filled well, or what bursts there has
         no room while others idle. Within a level the least cost counts. Never less in all than in one go."""
         whole = place(left, room, self.topology)
@@ -106,13 +106,13 @@
                     room[way[1]] -= amount
                     held[way[1]] += amount
             left = {
-                zone: Asked(
+                zone: Demand(
                     asked.free - sum(amount for (one, _), amount in found.free.items() if one == zone),
                     asked.bound - sum(amount for (one, _), amount in found.bound.items() if one == zone),
                 )
                 for zone, asked in left.items()
             }
-        levelled = Placed(free, bound, found.shed)
+        levelled = Placement(free, bound, found.shed)
         return levelled if sum(found.shed.values()) <= sum(whole.shed.values()) + 1e-6 else whole
 
     def next(self, now: float, states: Mapping[str, ZoneState], plan: Plan) -> Plan | None:
@@ -147,7 +147,7 @@
 
     def _over(self, states: Mapping[str, ZoneState], plan: Plan) -> list[str]:
         """Zones that get more by the plan in force than they can take now."""
-        load = {**dict.fromkeys(self.topology.zones, 0.0), **carries(states, plan)}
+        load = {**dict.fromkeys(self.topology.zones, 0.0), **zone_loads(states, plan)}
         takes = {zone: state.now * state.trust for zone, state in states.items() if zone not in self.drained}
         return [zone for zone in self.topology.zones if load[zone] > 1e-6 and load[zone] > takes.get(zone, 0.0)]
 
@@ -208,7 +208,7 @@
     return shed / asked if asked > 0 else 0.0
 
 
-def carries(states: Mapping[str, ZoneState], plan: Plan) -> dict[str, float]:
+def zone_loads(states: Mapping[str, ZoneState], plan: Plan) -> dict[str, float]:
     """What each zone of invokers gets by a plan, in cores."""
     load = dict.fromkeys(states, 0.0)
     for zone, state in states.items():
@@ -228,11 +228,11 @@
     return row
 
 
-def safe(topology: Topology, states: Mapping[str, ZoneState], most: float = 0.85, part: float = 0.5) -> Plan:
+def fallback_plan(topology: Topology, states: Mapping[str, ZoneState], most: float = 0.85, part: float = 0.5) -> Plan:
     """What one that cannot know the rest goes by: near; of what does not fit there as much to the other zones of the
     region as `part` of the room that is seen in them, since whoever is not seen may want the same room; no zone is
     emptied on its account, and nothing goes beyond the region. What is left is shed."""
-    plan = near(topology.zones, "alone: near, bounded spill")
+    plan = home_plan(topology.zones, "alone: near, bounded spill")
     free: Shares = {}
     for zone in topology.zones:
         state = states.get(zone)
--- a/sprucespool/failover/solver.py
+++ b/sprucespool/failover/solver.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class Demand:
     """What enters a zone, in the unit that caps count in. `bound`: the part of it that must not leave the region."""
 
     free: float = 0.0
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Placed:
+class Placement:
     """`free` and `bound`: by (zone of clients, zone of invokers). `shed`: what fits nowhere, by zone of clients."""
 
     free: dict[tuple[str, str], float]
@@ -32,7 +32,7 @@
     shed: dict[str, float]
 
 
-def place(asked: Mapping[str, Asked], caps: Mapping[str, float], topology: Topology) -> Placed:
+def place(asked: Mapping[str, Demand], caps: Mapping[str, float], topology: Topology) -> Placement:
     """`caps` by zone of invokers; no figure may be negative."""
     kinds = ("bound", "free")
     sources = [(zone, kind) for zone in sorted(asked) for kind in kinds if _amount(asked[zone], kind) > LEAST]
@@ -64,10 +64,10 @@
     for source, amount in left.items():
         if amount > 1e-6:
             shed[source[0]] = shed.get(source[0], 0.0) + amount
-    return Placed(free, bound, shed)
+    return Placement(free, bound, shed)
 
 
-def _amount(asked: Asked, kind: str) -> float:
+def _amount(asked: Demand, kind: str) -> float:
     return asked.bound if kind == "bound" else asked.free
 
 
--- a/sprucespool/failover/spread.py
+++ b/sprucespool/failover/spread.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pass:
+class RenewalDelivery:
     """Tell `renewal` at an address, which tells it on to `pass_on`."""
 
     to: str
@@ -33,7 +33,7 @@
     told_at: float = -math.inf
     drawn: int = 0
 
-    def lead(self, now: float, renewal: Renewal | None, others: Sequence[str]) -> list[Pass]:
+    def distribute(self, now: float, renewal: Renewal | None, others: Sequence[str]) -> list[RenewalDelivery]:
         """At who leads, as often as it likes."""
         if renewal is None or renewal.plan.epoch == self.epoch and now - self.told_at < self.every:
             return []
@@ -44,9 +44,9 @@
             other = zlib.crc32(b"%d:%d" % (self.seed, self.drawn)) % (place + 1)
             addresses[place], addresses[other] = addresses[other], addresses[place]
         heads = math.ceil(math.sqrt(len(addresses)))
-        return [Pass(addresses[n], renewal, tuple(addresses[heads + n :: heads])) for n in range(heads)]
+        return [RenewalDelivery(addresses[n], renewal, tuple(addresses[heads + n :: heads])) for n in range(heads)]
 
     @staticmethod
-    def on(renewal: Renewal, pass_on: Sequence[str]) -> list[Pass]:
+    def relay(renewal: Renewal, pass_on: Sequence[str]) -> list[RenewalDelivery]:
         """At whoever was told with others to tell: the second step, and the last."""
-        return [Pass(to, renewal) for to in pass_on]
+        return [RenewalDelivery(to, renewal) for to in pass_on]
--- a/sprucespool/failover/steer.py
+++ b/sprucespool/failover/steer.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True)
-class Sifter:
+class ValueShedder:
     """Sheds a part of what comes, the least valued first: all under a value, and of that value what is missing."""
 
     memory: float = 200.0
@@ -78,13 +78,13 @@
     zone: str
     topology: Topology
     limits: SteerLimits = field(default_factory=SteerLimits)
-    serves: frozenset[str] | None = None
+    serving_zones: frozenset[str] | None = None
     seen: dict[str, _Seen] = field(default_factory=dict)
     _debts: dict[bool, dict[str, float]] = field(default_factory=lambda: {False: {}, True: {}})
-    _sifters: dict[bool, Sifter] = field(default_factory=dict)
+    _sifters: dict[bool, ValueShedder] = field(default_factory=dict)
 
     def __post_init__(self):
-        self._sifters = {bound: Sifter(self.limits.memory) for bound in (False, True)}
+        self._sifters = {bound: ValueShedder(self.limits.memory) for bound in (False, True)}
 
     # Own eyes
 
@@ -104,7 +104,7 @@
     def open(self, zone: str) -> bool:
         """Whether anything is sent there but trials."""
         seen = self.seen.get(zone)
-        return (seen is None or not seen.out) and (self.serves is None or zone in self.serves)
+        return (seen is None or not seen.out) and (self.serving_zones is None or zone in self.serving_zones)
 
     # Choosing
 
@@ -120,14 +120,14 @@
         others = sorted(
             (
                 zone
-                for zone in self._reach(bound)
+                for zone in self._reachable(bound)
                 if zone != first and self.open(zone) and (zone in row or self.topology.same_region(zone, self.zone))
             ),
             key=lambda zone: (-row.get(zone, 0.0), self.topology.cost(self.zone, zone), zone),
         )
         return (first, *others)
 
-    def _reach(self, bound: bool) -> list[str]:
+    def _reachable(self, bound: bool) -> list[str]:
         return [zone for zone in self.topology.zones if not bound or self.topology.same_region(zone, self.zone)]
 
     def _weights(self, row: Mapping[str, float], bound: bool) -> dict[str, float]:
@@ -135,7 +135,7 @@
         weights = {zone: part for zone, part in row.items() if part > 0 and self.open(zone)}
         if weights:
             return weights
-        left = [zone for zone in self._reach(bound) if self.open(zone)]
+        left = [zone for zone in self._reachable(bound) if self.open(zone)]
         near = min((self.topology.cost(self.zone, zone) for zone in left), default=math.inf)
         nearest = [zone for zone in left if self.topology.cost(self.zone, zone) <= near + 1e-9]
         # All are out in own eyes: as likely this controller is cut off; the plan is the best word there is.
@@ -161,7 +161,7 @@
                 and seen is not None
                 and seen.out
                 and now >= seen.trial_at
-                and (self.serves is None or zone in self.serves)
+                and (self.serving_zones is None or zone in self.serving_zones)
             ):
                 seen.gap = min(2 * seen.gap, self.limits.last_trial)
                 seen.trial_at = now + seen.gap
--- a/sprucespool/failover/seating.py
+++ b/sprucespool/failover/voter_selection.py
@@ -13,18 +13,18 @@
 from sprucespool.failover.topology import Topology
 
 # Sets of voters are small: a word to each of them is said with each beat.
-MOST_VOTERS = 9
+MAX_VOTERS = 9
 
 
 @dataclass(slots=True, eq=False)
-class Seating:
+class VoterSelection:
     """`size`: as many as the files name. `absent`: ms that a voter must be gone; `every`: ms between two changes. All
     voters `watch`, so that who leads next does not begin to count anew."""
 
     topology: Topology
     size: int
-    absent: float = 30_000.0
-    every: float = 500.0
+    absent_after: float = 30_000.0
+    change_interval: float = 500.0
     gone_since: dict[str, float] = field(default_factory=dict)
     changed_at: float = -1e18
 
@@ -35,13 +35,13 @@
         """The set that should be next, or None to leave it. `places`: the zone of each member that is there, serves
         and speaks of plans, the own one among them."""
         self.watch(now, voters, places)
-        lost = [name for name in voters if now - self.gone_since.get(name, now) >= self.absent]
-        if now - self.changed_at < self.every:
+        lost = [name for name in voters if now - self.gone_since.get(name, now) >= self.absent_after]
+        if now - self.changed_at < self.change_interval:
             return None
         found: tuple[str, ...] | None = None
         if len(voters) > self.size:
             found = self._less(me, voters, places)
-        elif lost and len(voters) < MOST_VOTERS:
+        elif lost and len(voters) < MAX_VOTERS:
             found = self._more(voters, places, set(lost))
         if found is not None:
             self.changed_at = now
--- a/sprucespool/failover/ways.py
+++ b/sprucespool/failover/zone_costs.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Ways:
+class ZoneCosts:
     """`zone` is the own one. `topology` has the costs in force; it is changed in place, for all who hold it."""
 
     zone: str
@@ -31,14 +31,14 @@
     floor: float = 0.5
     answers: dict[str, deque[float]] = field(default_factory=dict)
     # By member: its zone and its row.
-    told: dict[str, tuple[str, dict[str, float]]] = field(default_factory=dict)
+    reported: dict[str, tuple[str, dict[str, float]]] = field(default_factory=dict)
 
-    def answered(self, zone: str, took: float) -> None:
+    def record_round_trip(self, zone: str, took: float) -> None:
         """A member of that zone answered a check after `took` ms, there and back."""
         if zone in self.topology.regions and took >= 0.0:
             self.answers.setdefault(zone, deque(maxlen=self.newest)).append(took)
 
-    def row(self) -> dict[str, float]:
+    def measured(self) -> dict[str, float]:
         """One way to each zone that enough is known of, ms."""
         return {
             zone: round(max(self.floor, sorted(kept)[len(kept) // 2] / 2), 1)
@@ -46,10 +46,10 @@
             if len(kept) >= self.least and zone != self.zone
         }
 
-    def heard(self, name: str, zone: str, row: Mapping[str, float]) -> None:
+    def receive(self, name: str, zone: str, row: Mapping[str, float]) -> None:
         """Another's row. What names no zone of these counts nowhere."""
-        if zone in self.topology.regions and (name in self.told or len(self.told) < MOST_TELLERS):
-            self.told[name] = (
+        if zone in self.topology.regions and (name in self.reported or len(self.reported) < MOST_TELLERS):
+            self.reported[name] = (
                 zone,
                 {
                     to: max(self.floor, cost)
@@ -58,12 +58,12 @@
                 },
             )
 
-    def weigh(self, members: Iterable[str]) -> bool:
+    def update(self, members: Iterable[str]) -> bool:
         """Bring the costs up to date by what those members and this one told; true if any changed."""
         live = set(members)
-        self.told = {name: one for name, one in self.told.items() if name in live}
+        self.reported = {name: one for name, one in self.reported.items() if name in live}
         said: dict[tuple[str, str], list[float]] = {}
-        for zone, row in [*self.told.values(), (self.zone, self.row())]:
+        for zone, row in [*self.reported.values(), (self.zone, self.measured())]:
             for to, cost in row.items():
                 if to != zone:
                     said.setdefault((min(zone, to), max(zone, to)), []).append(cost)
--- a/sprucespool/lab/defects.py
+++ b/sprucespool/lab/defects.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, replace
 
 from sprucespool.emulator.hunt import Build
-from sprucespool.failover import Failover, Plan, Seats, Tell
-from sprucespool.failover.council import Ballot, Council, Effect, Word
+from sprucespool.failover import Failover, Plan, SendToVoter, VoterSet
+from sprucespool.failover.council import Ballot, Council, CouncilMessage, Effect
 from sprucespool.standin.members import MEMBERS
 from sprucespool.standin.plans import PLANS, STEERS
 from sprucespool.standin.views import VIEWS
@@ -15,10 +15,10 @@
 class VotesTwice(Council):
     """A second vote in a term."""
 
-    def _elect(self, now: float, word: Word) -> list[Effect]:
+    def _on_vote(self, now: float, word: CouncilMessage) -> list[Effect]:
         if self.ballot.term == word.term:
-            self.ballot = Ballot(word.term - 1, "", self.seats)
-        return super()._elect(now, word)
+            self.ballot = Ballot(word.term - 1, "", self.voter_set)
+        return super()._on_vote(now, word)
 
 
 class Minority(Council):
@@ -28,24 +28,27 @@
     def majority(self) -> int:
         return 1
 
-    def _quiet(self, now: float) -> bool:
+    def _no_leader_alive(self, now: float) -> bool:
         return True
 
 
 class SameTerm(Council):
     """Takes the lead in the term that it knows instead of a new one."""
 
-    def _lead(self, now: float) -> list[Effect]:
-        effects = super()._lead(now)
-        self._keep(replace(self.ballot, term=1, seats=Seats((1, 1), self.voters)))
-        return [replace(one, word=replace(one.word, term=1)) if isinstance(one, Tell) else one for one in effects]
+    def _become_leader(self, now: float) -> list[Effect]:
+        effects = super()._become_leader(now)
+        self._store_ballot(replace(self.ballot, term=1, voter_set=VoterSet((1, 1), self.voters)))
+        return [
+            replace(one, message=replace(one.message, term=1)) if isinstance(one, SendToVoter) else one
+            for one in effects
+        ]
 
 
 class Backwards(Council):
     """Takes whatever plan it hears last."""
 
-    def _follow(self, now: float, word: Word) -> list[Effect]:
-        effects = super()._follow(now, word)
+    def _on_beat(self, now: float, word: CouncilMessage) -> list[Effect]:
+        effects = super()._on_beat(now, word)
         if word.plan is not None:
             self.decided, self.renewed_at = word.plan, now
         return effects
@@ -74,7 +77,7 @@
         def __post_init__(self):
             super().__post_init__()
             held = self.council
-            self.council = kind(held.name, self.voters, held.seed, held.kept, held.limits)
+            self.council = kind(held.name, self.voters, held.seed, held.stored_ballot, held.limits)
 
     return Odd
 
--- a/sprucespool/standin/plans.py
+++ b/sprucespool/standin/plans.py
@@ -7,7 +7,7 @@
 
 from sprucespool.emulator.liars import LyingMeter
 from sprucespool.failover import Failover, Plan, Planner, Renewal, Steer, ZoneState
-from sprucespool.failover.council import Council, Effect, Word
+from sprucespool.failover.council import Council, CouncilMessage, Effect
 
 
 class Unnumbered(Council):
@@ -19,10 +19,10 @@
             self.plan = self.decided = replace(self.plan, epoch=(self.plan.epoch[0], 1))
         return effects
 
-    def _follow(self, now: float, word: Word) -> list[Effect]:
+    def _on_beat(self, now: float, word: CouncilMessage) -> list[Effect]:
         if word.plan is not None:
             self.plan = word.plan
-        return super()._follow(now, word)
+        return super()._on_beat(now, word)
 
     def learn(self, now: float, told: Renewal) -> bool:
         if self.decided is not None and told.plan.epoch == self.decided.epoch:
@@ -37,7 +37,7 @@
     def __post_init__(self):
         super().__post_init__()
         council = self.council
-        self.council = Unnumbered(council.name, council.voters, council.seed, council.kept, council.limits)
+        self.council = Unnumbered(council.name, council.voters, council.seed, council.stored_ballot, council.limits)
 
 
 class Crowding(Steer):
@@ -51,7 +51,7 @@
     """(c) Every zone is as good as the own one."""
 
     def _weights(self, row: Mapping[str, float], bound: bool) -> dict[str, float]:
-        return dict.fromkeys(self._reach(bound), 1.0)
+        return dict.fromkeys(self._reachable(bound), 1.0)
 
 
 class Leaking(Steer):
@@ -81,7 +81,7 @@
 class Unled(Failover):
     """(f) Who has no vote takes nobody's plan."""
 
-    def rode(self, now: float, told: Renewal) -> None:
+    def receive_renewal(self, now: float, told: Renewal) -> None:
         pass
 
 
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -14,9 +14,9 @@
 from sprucespool.daemon.failover import FailoverCarrier
 from sprucespool.daemon.logs import opened
 from sprucespool.daemon.snapshots import SnapshotFile
-from sprucespool.failover import Ballot, Keep, Seats, Tell
-from sprucespool.failover.codec import SaidError, ballot, kept
-from sprucespool.failover.council import Word
+from sprucespool.failover import Ballot, SendToVoter, StoreBallot, VoterSet
+from sprucespool.failover.codec import PlanMessageError, decode_ballot, encode_ballot
+from sprucespool.failover.council import CouncilMessage
 from sprucespool.gateway import Gateway, Recorder
 from sprucespool.gateway import messages as ms
 from sprucespool.gateway.record import batches
@@ -111,12 +111,15 @@
     made.file, made.unkept, made.log = SnapshotFile(str(folder / "ballot"), Said(), 10_000), None, Said()
     made.others = lambda: [SimpleNamespace(name="other", address="127.0.0.1:1")]
     made.failover = SimpleNamespace(name="me", epoch=0, take_events=list)
-    made._send = lambda to, said: sent.append(said.word)
+    made._send = lambda to, said: sent.append(said.council_message)
     return made, sent
 
 
 def vote(term: int):
-    return [Keep(Ballot(term, "other", Seats((0, 0), ("me", "other")))), Tell("other", Word("voted", "me", term))]
+    return [
+        StoreBallot(Ballot(term, "other", VoterSet((0, 0), ("me", "other")))),
+        SendToVoter("other", CouncilMessage("voted", "me", term)),
+    ]
 
 
 @pytest.mark.parametrize("how", ["missing folder", "ENOSPC"])
@@ -128,24 +131,24 @@
             Steps(patch, 1, OSError(errno.ENOSPC, "full"))
         made._do(vote(3))
         assert sent == [] and made.unkept is not None
-        made._do([Tell("other", Word("beat", "me", 3))])
+        made._do([SendToVoter("other", CouncilMessage("beat", "me", 3))])
         assert sent == []
     (tmp_path / "late").mkdir(exist_ok=True)
     made._keep(made.file, made.unkept)
-    assert made.unkept is None and ballot(made.file.read()).term == 3
+    assert made.unkept is None and decode_ballot(made.file.read()).term == 3
     made._do(vote(4))
-    assert [word.term for word in sent] == [4] and ballot(made.file.read()).term == 4
+    assert [word.term for word in sent] == [4] and decode_ballot(made.file.read()).term == 4
 
 
 def test_a_torn_or_damaged_ballot_is_recognised_at_every_byte():
-    data = kept(Ballot(7, "other", Seats((0, 0), ("me", "other"))))
-    assert ballot(data).term == 7
+    data = encode_ballot(Ballot(7, "other", VoterSet((0, 0), ("me", "other"))))
+    assert decode_ballot(data).term == 7
     for end in range(len(data) - 1):
-        with pytest.raises(SaidError):
-            ballot(data[:end])
+        with pytest.raises(PlanMessageError):
+            decode_ballot(data[:end])
     for place in range(len(data) - 1):
-        with pytest.raises(SaidError):
-            ballot(data[:place] + bytes((data[place] ^ 1,)) + data[place + 1 :])
+        with pytest.raises(PlanMessageError):
+            decode_ballot(data[:place] + bytes((data[place] ^ 1,)) + data[place + 1 :])
 
 
 class FullDisk(io.BytesIO):
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -10,28 +10,28 @@
 from sprucespool.emulator.explore import explore
 from sprucespool.emulator.models import CouncilWorld
 from sprucespool.failover import (
-    Asked,
     Ballot,
     Council,
     CouncilLimits,
-    Keep,
+    CouncilMessage,
+    Demand,
     Plan,
     Planner,
     PlannerLimits,
     Renewal,
-    Seating,
-    Seats,
-    Tell,
+    SendToVoter,
+    StoreBallot,
     Topology,
-    Word,
-    carries,
+    VoterSelection,
+    VoterSet,
     ZoneState,
     distance,
-    faults,
-    near,
+    fallback_plan,
+    home_plan,
     place,
+    plan_errors,
     rounded,
-    safe,
+    zone_loads,
 )
 
 FAST = settings(max_examples=200, deadline=None, derandomize=True, database=None)
@@ -45,7 +45,7 @@
     st.dictionaries(st.sampled_from(SIX.zones), AMOUNT, max_size=6),
 )
 def test_as_much_is_placed_as_can_be_at_the_least_cost_and_what_is_bound_stays(asked, caps):
-    found = place({zone: Asked(free, bound) for zone, (free, bound) in asked.items()}, caps, SIX)
+    found = place({zone: Demand(free, bound) for zone, (free, bound) in asked.items()}, caps, SIX)
     graph = networkx.DiGraph()
     graph.add_node("from"), graph.add_node("to")
     for zone, amounts in asked.items():
@@ -85,7 +85,7 @@
 def test_shares_in_whole_steps_stay_close_and_never_above_one(shares):
     found = rounded(shares)
     assert rounded(found) == found and distance(found, shares) < 0.01
-    assert faults(Plan((1, 1), found, {}), SIX) == []
+    assert plan_errors(Plan((1, 1), found, {}), SIX) == []
 
 
 def states(**over):
@@ -94,37 +94,37 @@
 
 
 def test_with_all_well_everybody_stays_at_home_and_no_plan_changes():
-    planner, plan = Planner(SIX), near(SIX.zones)
+    planner, plan = Planner(SIX), home_plan(SIX.zones)
     assert all(planner.next(1_000.0 * n, states(), plan) is None for n in range(60))
 
 
 def test_a_lost_zone_goes_to_its_region_first_as_far_as_that_is_safe_and_bound_work_never_leaves_it():
     planner = Planner(SIX)
-    plan = planner.next(0.0, states(a1={"now": 0.0, "warm": 0.0}), near(SIX.zones))
-    assert plan.part("a1", "a1") == 0.0 and plan.part("a1", "a2", bound=True) == 1.0
-    load = carries(states(), plan)
+    plan = planner.next(0.0, states(a1={"now": 0.0, "warm": 0.0}), home_plan(SIX.zones))
+    assert plan.share("a1", "a1") == 0.0 and plan.share("a1", "a2", bound=True) == 1.0
+    load = zone_loads(states(), plan)
     assert load["a2"] <= 15.0 + 0.1, "no zone is handed more than leaves room for one more loss"
-    assert plan.part("a1", "b1") > 0 and plan.part("a1", "b2") == 0, "then the nearest zone of another region"
-    assert "a1" in plan.reason and faults(plan, SIX) == []
+    assert plan.share("a1", "b1") > 0 and plan.share("a1", "b2") == 0, "then the nearest zone of another region"
+    assert "a1" in plan.reason and plan_errors(plan, SIX) == []
 
 
 def test_what_fits_nowhere_is_shed_near_and_said():
     planner = Planner(SIX)
     full = states(**{**{zone: {"free": 19.0} for zone in SIX.zones}, "a1": {"free": 19.0, "now": 0.0, "warm": 0.0}})
-    plan = planner.next(0.0, full, near(SIX.zones))
+    plan = planner.next(0.0, full, home_plan(SIX.zones))
     assert sum(plan.free["a1"].values()) < 0.01 and "no room" in plan.reason
-    alone = safe(SIX, full)
-    assert alone.part("a1", "a2") == 0.0 and alone.part("a1", "a1") == 0.0 and alone.part("a2", "a2") == 1.0
-    assert alone.epoch == (0, 0) and faults(alone, SIX) == []
+    alone = fallback_plan(SIX, full)
+    assert alone.share("a1", "a2") == 0.0 and alone.share("a1", "a1") == 0.0 and alone.share("a2", "a2") == 1.0
+    assert alone.epoch == (0, 0) and plan_errors(alone, SIX) == []
     # Half of the 7 cores that the region's other zone seems to have free, for the 10 asked; none beyond the region.
-    alone = safe(SIX, states(a1={"now": 0.0, "warm": 0.0}))
-    assert alone.free["a1"] == {"a2": pytest.approx(0.35)} == alone.bound["a1"] and faults(alone, SIX) == []
-    short = safe(SIX, states(a1={"now": 8.0}))
+    alone = fallback_plan(SIX, states(a1={"now": 0.0, "warm": 0.0}))
+    assert alone.free["a1"] == {"a2": pytest.approx(0.35)} == alone.bound["a1"] and plan_errors(alone, SIX) == []
+    short = fallback_plan(SIX, states(a1={"now": 8.0}))
     assert short.free["a1"] == {"a1": pytest.approx(0.8), "a2": pytest.approx(0.2)}
 
 
 def test_a_zone_that_comes_back_cold_gets_its_traffic_in_steps_bound_to_what_it_can_take():
-    planner, plan, now = Planner(SIX), near(SIX.zones), 0.0
+    planner, plan, now = Planner(SIX), home_plan(SIX.zones), 0.0
     plan = planner.next(now, states(a1={"now": 0.0, "warm": 0.0}), plan)
     at_home = []
     for second in range(40):
@@ -132,8 +132,8 @@
         capacity = min(20.0, 5.0 + second)
         new = planner.next(now, states(a1={"now": capacity, "warm": 20.0}), plan)
         plan = new or plan
-        at_home.append(plan.part("a1", "a1"))
-        assert 9.0 * plan.part("a1", "a1") <= capacity
+        at_home.append(plan.share("a1", "a1"))
+        assert 9.0 * plan.share("a1", "a1") <= capacity
     steps = [b - a for a, b in zip([0.0, *at_home], at_home, strict=False)]
     assert at_home[-1] > 0.95 and max(steps) < 0.6 and sum(step > 0 for step in steps) >= 3
     assert at_home == sorted(at_home)
@@ -142,7 +142,7 @@
 @FAST
 @given(st.lists(st.tuples(st.sampled_from(SIX.zones), AMOUNT, AMOUNT), min_size=30, max_size=120))
 def test_changes_a_minute_are_bounded_under_any_input(draws):
-    planner, plan, changed = Planner(SIX), near(SIX.zones), []
+    planner, plan, changed = Planner(SIX), home_plan(SIX.zones), []
     found = states()
     for n, (zone, capacity, asked) in enumerate(draws):
         found = {**found, zone: ZoneState(zone, float(capacity), 40.0, float(asked), 1.0)}
@@ -150,7 +150,7 @@
         if new is not None:
             changed.append(500.0 * n)
             plan = new
-            assert faults(plan, SIX) == []
+            assert plan_errors(plan, SIX) == []
     limits = PlannerLimits()
     for at in changed:
         within = sum(at - 60_000.0 < other <= at for other in changed)
@@ -159,15 +159,15 @@
 
 def test_a_drained_zone_is_emptied_and_told_plans_that_cannot_be_are_named():
     planner = Planner(SIX, drained=frozenset({"b1"}))
-    plan = planner.next(0.0, states(), near(SIX.zones))
-    assert carries(states(), plan)["b1"] == 0 and plan.drained == ("b1",) and "drained: b1" in plan.reason
+    plan = planner.next(0.0, states(), home_plan(SIX.zones))
+    assert zone_loads(states(), plan)["b1"] == 0 and plan.drained == ("b1",) and "drained: b1" in plan.reason
     for bad in (
         Plan((1, 1), {"a1": {"a1": 1.5}}, {}),
         Plan((1, 1), {"a1": {"x": 0.5}}, {}),
         Plan((1, 1), {}, {"a1": {"b1": 1.0}}),
         Plan((1, 1), {}, {}, {"a1": -1.0}),
     ):
-        assert len(faults(bad, SIX)) == 1
+        assert len(plan_errors(bad, SIX)) == 1
 
 
 # Decided in common
@@ -193,10 +193,10 @@
 
     def do(self, name, effects):
         for effect in effects:
-            if isinstance(effect, Keep):
+            if isinstance(effect, StoreBallot):
                 self.disks[name] = effect.ballot
-            elif isinstance(effect, Tell) and self.reaches(name, effect.to):
-                self.air.append((self.now + 20.0, effect.to, effect.word))
+            elif isinstance(effect, SendToVoter) and self.reaches(name, effect.to):
+                self.air.append((self.now + 20.0, effect.to, effect.message))
 
     def run(self, span):
         end = self.now + span
@@ -206,7 +206,7 @@
             self.air = [item for item in self.air if item not in due]
             for _, to, word in due:
                 if self.reaches(word.sender, to):
-                    self.do(to, self.councils[to].heard(self.now, word))
+                    self.do(to, self.councils[to].receive(self.now, word))
             for name, one in self.councils.items():
                 if name not in self.still:
                     self.do(name, one.tick(self.now))
@@ -285,10 +285,10 @@
     rig.councils = {name: rig.new(name) for name in rig.names}
     rig.run(6_000.0)
     assert len(rig.leaders()) == 1 and rig.councils[rig.leaders()[0]].ballot.term > max(terms.values())
-    lost = Council("v0", rig.names, kept=None, limits=rig.limits)
+    lost = Council("v0", rig.names, stored_ballot=None, limits=rig.limits)
     lost.tick(0.0)
-    vote = Word("vote", "v1", 9)
-    assert lost.heard(100.0, vote) == [] and lost.heard(rig.limits.forgetful + 1.0, vote) != []
+    vote = CouncilMessage("vote", "v1", 9)
+    assert lost.receive(100.0, vote) == [] and lost.receive(rig.limits.lost_ballot_wait + 1.0, vote) != []
 
 
 def test_what_rides_never_takes_an_epoch_back_and_two_plans_of_one_epoch_are_never_both_taken():
@@ -322,10 +322,10 @@
 class VotesTwice(Council):
     """A second vote in a term."""
 
-    def _elect(self, now, word):
+    def _on_vote(self, now, word):
         if self.ballot.term == word.term:
             self.ballot = Ballot(word.term - 1)
-        return super()._elect(now, word)
+        return super()._on_vote(now, word)
 
 
 class Minority(Council):
@@ -347,9 +347,9 @@
 class Backwards(Council):
     """Takes whatever rides last."""
 
-    def _follow(self, now, word):
+    def _on_beat(self, now, word):
         self.decided = word.plan or self.decided
-        return super()._follow(now, word)
+        return super()._on_beat(now, word)
 
 
 @pytest.mark.parametrize(
@@ -378,27 +378,30 @@
 class Hasty(Council):
     """Changes the set of voters again before most hold the one before."""
 
-    def reseat(self, now, voters):
-        self.seated = self.seats.epoch
-        return super().reseat(now, voters)
+    def change_voters(self, now, voters):
+        self.agreed_epoch = self.voter_set.epoch
+        return super().change_voters(now, voters)
 
 
 class Careless(Council):
     """Votes for who knows an older set."""
 
-    def _elect(self, now, word):
-        newest = max(word.seats.epoch, self.seats.epoch)
-        return super()._elect(now, replace(word, seats=replace(word.seats, epoch=newest)))
+    def _on_vote(self, now, word):
+        newest = max(word.voter_set.epoch, self.voter_set.epoch)
+        return super()._on_vote(now, replace(word, voter_set=replace(word.voter_set, epoch=newest)))
 
 
 class Unstated(Council):
     """Changes the set without having stated it in its own term."""
 
-    def _lead(self, now):
-        held, effects = self.seats, super()._lead(now)
-        self._keep(replace(self.ballot, seats=held))
-        self.seated = held.epoch
-        return [replace(one, word=replace(one.word, seats=held)) if isinstance(one, Tell) else one for one in effects]
+    def _become_leader(self, now):
+        held, effects = self.voter_set, super()._become_leader(now)
+        self._store_ballot(replace(self.ballot, voter_set=held))
+        self.agreed_epoch = held.epoch
+        return [
+            replace(one, message=replace(one.message, voter_set=held)) if isinstance(one, SendToVoter) else one
+            for one in effects
+        ]
 
 
 def among(world, *names):
@@ -479,21 +482,25 @@
 
 
 def test_one_that_lost_its_vote_hears_of_it_on_the_way_of_plans_and_waits_for_nothing():
-    one, seats = Council("v2", ("v0", "v1", "v2")), Seats((3, 2), ("v0", "v1", "w0"))
+    one, voter_set = Council("v2", ("v0", "v1", "v2")), VoterSet((3, 2), ("v0", "v1", "w0"))
     one.tick(0.0)
-    assert one.votes and one.due() < 5_000.0
-    one.learn(100.0, Renewal(Plan((3, 1), {"a1": {"a1": 1.0}}, {}), 1, 0.0, seats))
-    assert not one.votes and one.due() == float("inf") and one.tick(9_000.0) == [] and one.in_force(200.0) is not None
+    assert one.is_voter and one.due() < 5_000.0
+    one.learn(100.0, Renewal(Plan((3, 1), {"a1": {"a1": 1.0}}, {}), 1, 0.0, voter_set))
+    assert (
+        not one.is_voter and one.due() == float("inf") and one.tick(9_000.0) == [] and one.in_force(200.0) is not None
+    )
     new = Council("w0", ("v0", "v1", "v2"))
-    beat = Word("beat", "v0", 3, 7, None, seats=seats)
-    (keep, held) = new.heard(0.0, beat)
-    assert keep.ballot == Ballot(3, "v0", seats) and held.word.kind == "held" and new.votes
-    assert new.heard(1.0, Word("vote", "v1", 3, seats=seats)) == [], "its vote of that term is the leader's"
+    beat = CouncilMessage("beat", "v0", 3, 7, None, voter_set=voter_set)
+    (keep, held) = new.receive(0.0, beat)
+    assert keep.ballot == Ballot(3, "v0", voter_set) and held.message.kind == "held" and new.is_voter
+    assert new.receive(1.0, CouncilMessage("vote", "v1", 3, voter_set=voter_set)) == [], (
+        "its vote of that term is the leader's"
+    )
 
 
 def test_a_voter_that_is_gone_is_replaced_by_one_where_fewest_stand_and_the_set_is_as_large_as_before():
     zones = {f"c{n}": f"{'abc'[n % 3]}{1 + n // 3 % 2}" for n in range(9)}
-    seating, voters = Seating(SIX, 3, absent=1_000.0, every=0.0), ("c0", "c1", "c2")
+    seating, voters = VoterSelection(SIX, 3, absent_after=1_000.0, change_interval=0.0), ("c0", "c1", "c2")
     there = {name: zone for name, zone in zones.items() if name != "c2"}
     assert seating.next(0.0, "c0", voters, there) is None and seating.next(999.0, "c0", voters, there) is None
     more = seating.next(1_000.0, "c0", voters, there)
@@ -503,7 +510,7 @@
     # Back while there is one more: the one that stands closest to the others goes, never the one that leads.
     assert seating.next(1_003.0, "c0", ("c0", "c1", "c2", "c3"), zones) == ("c0", "c1", "c2")
     assert seating.next(1_003.0, "c3", ("c0", "c1", "c2", "c3"), zones) == ("c1", "c2", "c3")
-    nobody = Seating(SIX, 3, absent=0.0)
+    nobody = VoterSelection(SIX, 3, absent_after=0.0)
     assert nobody.next(0.0, "c0", voters, {"c0": "a1", "c1": "b1"}) is None, "nobody is there to come next"
 
 
@@ -511,7 +518,10 @@
 @given(st.integers(1, 3), st.lists(st.sets(st.integers(0, 7), min_size=1), max_size=40))
 def test_whoever_comes_and_goes_a_set_changes_by_one_name_and_keeps_its_size_and_its_leader(half, courses):
     size = 2 * half - 1
-    seating, voters = Seating(SIX, size, absent=100.0, every=0.0), tuple(f"c{n}" for n in range(size))
+    seating, voters = (
+        VoterSelection(SIX, size, absent_after=100.0, change_interval=0.0),
+        tuple(f"c{n}" for n in range(size)),
+    )
     for n, here in enumerate(courses):
         places = {f"c{m}": SIX.zones[m % 6] for m in {*here, 0}}
         new = seating.next(60.0 * n, "c0", voters, places)
--- a/tests/test_failover_sockets.py
+++ b/tests/test_failover_sockets.py
@@ -245,7 +245,7 @@
     refused = command("drain-zone", "nowhere", "--at", where[2])
     assert refused.returncode == 1 and "no zone nowhere" in refused.stdout
     for one in controllers:
-        stage.call(lambda one=one: one.failover.meter.runs.update(line=4_000.0))
+        stage.call(lambda one=one: one.failover.meter.run_times.update(line=4_000.0))
 
     def ask(count):
         for one in controllers:
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -16,26 +16,26 @@
 from sprucespool.failover import (
     Ballot,
     Codec,
+    CouncilMessage,
     Gauge,
     GaugeLimits,
-    Loaded,
+    LoadReport,
     Meter,
     Plan,
+    PlanMessage,
+    PlanMessageError,
     Renewal,
     Reports,
-    Said,
-    SaidError,
-    Seats,
-    Sifter,
+    ServingInvoker,
     Spread,
-    Standing,
     Steer,
     Topology,
-    Ways,
-    Word,
-    ballot,
-    kept,
-    near,
+    ValueShedder,
+    VoterSet,
+    ZoneCosts,
+    decode_ballot,
+    encode_ballot,
+    home_plan,
 )
 from sprucespool.standin.plans import PLANS, STEERS
 
@@ -44,7 +44,9 @@
 
 
 def plan_of(row, bound=None):
-    return Plan((1, 1), {**near(SIX.zones).free, "a1": row}, {**near(SIX.zones).bound, "a1": bound or {"a1": 1.0}})
+    return Plan(
+        (1, 1), {**home_plan(SIX.zones).free, "a1": row}, {**home_plan(SIX.zones).bound, "a1": bound or {"a1": 1.0}}
+    )
 
 
 # Steering
@@ -66,7 +68,7 @@
 def test_as_much_is_shed_as_the_plan_lacks_and_the_least_valued_first(values, missing):
     """Against a plain model that sorts all values at once: the part is kept, and nothing is shed in earnest of a value
     above that at which the model ends."""
-    sifter = Sifter(memory=100.0)
+    sifter = ValueShedder(memory=100.0)
     shed = [sifter.sheds(value, missing) for value in values]
     settled = list(zip(values, shed, strict=True))[100:]
     assert abs(sum(one for _, one in settled) / len(settled) - missing) < 0.12
@@ -80,11 +82,11 @@
     for n in range(8):
         steer.ended(50.0 * n, "a1", False)
     assert not steer.open("a1")
-    first = [steer.zones(400.0 + 10 * n, near(SIX.zones), True, 1.0) for n in range(300)]
+    first = [steer.zones(400.0 + 10 * n, home_plan(SIX.zones), True, 1.0) for n in range(300)]
     tried = sum(zones[0] == "a1" for zones in first)
     assert 1 <= tried <= 3 and {zones[0] for zones in first} == {"a1", "a2"}, "bound work goes within its region"
     steer.ended(4_000.0, "a1", True)
-    assert steer.open("a1") and steer.zones(4_000.0, near(SIX.zones), False, 1.0)[0] == "a1"
+    assert steer.open("a1") and steer.zones(4_000.0, home_plan(SIX.zones), False, 1.0)[0] == "a1"
 
 
 def test_one_that_finds_all_zones_silent_goes_by_the_plan_and_one_that_has_none_to_go_to_sheds():
@@ -92,11 +94,11 @@
     for zone in SIX.zones:
         for n in range(8):
             steer.ended(50.0 * n, zone, False)
-    assert steer.zones(410.0, near(SIX.zones), False, 1.0)[0] == "a1"
+    assert steer.zones(410.0, home_plan(SIX.zones), False, 1.0)[0] == "a1"
     assert Steer("a1", SIX).zones(0.0, plan_of({}), False, 1.0) == ()
-    left = Steer("a1", SIX, serves=frozenset({"b1"}))
-    assert left.zones(0.0, near(SIX.zones), False, 1.0)[0] == "b1", "nothing serves at home"
-    assert left.zones(0.0, near(SIX.zones), True, 1.0)[0] == "a1", "and what must stay does not go abroad"
+    left = Steer("a1", SIX, serving_zones=frozenset({"b1"}))
+    assert left.zones(0.0, home_plan(SIX.zones), False, 1.0)[0] == "b1", "nothing serves at home"
+    assert left.zones(0.0, home_plan(SIX.zones), True, 1.0)[0] == "a1", "and what must stay does not go abroad"
 
 
 # Figures
@@ -108,17 +110,17 @@
         at = 10.0 * n
         meter.arrived(at, "g", n % 4 == 0, 100.0)
         meter.ended(at, "g", "a1", 100.0, "returned", True, 600.0)
-    free, bound, did, well, soon = meter.figures(4_000.0)
+    free, bound, did, well, soon = meter.measure(4_000.0)
     assert free == pytest.approx(7.5, rel=0.1) and bound == pytest.approx(2.5, rel=0.1) and well == 1.0
     assert did == pytest.approx(10.0, rel=0.1)
-    before = meter.runs["g"]
+    before = meter.run_times["g"]
     for n in range(400):
         meter.ended(4_000.0 + n, "g", "a1", 900.0, "returned", True, 600.0)
-    assert meter.runs["g"] <= before * 1.2 and meter.figures(4_400.0)[3] == 1.0, "late is no sign of ill invokers"
+    assert meter.run_times["g"] <= before * 1.2 and meter.measure(4_400.0)[3] == 1.0, "late is no sign of ill invokers"
     for n in range(30):
         meter.ended(4_400.0 + n, "g", "a1", 2_000.0, "timed out", False, 600.0)
         meter.ended(4_400.0 + n, "g", "b1", 1.0, "returned", True, 600.0)
-    assert meter.figures(4_430.0)[3] == 0.0, "and how others answer says nothing of home"
+    assert meter.measure(4_430.0)[3] == 0.0, "and how others answer says nothing of home"
 
 
 def test_what_moved_beyond_chance_is_news_and_a_few_more_arrivals_are_none():
@@ -129,12 +131,14 @@
             meter.arrived(at, "g", False, 100.0)
         if n > 1_000:
             meter.arrived(at + 1, "g", False, 100.0)
-        if meter.news(at) is not None:
+        if meter.report_if_due(at) is not None:
             said.append(at)
     # Not those of the first seconds, in which the window fills.
-    moved = [at for at, before in zip(said[1:], said, strict=False) if at - before < meter.tell_again and at > 3_000]
+    moved = [
+        at for at, before in zip(said[1:], said, strict=False) if at - before < meter.max_report_interval and at > 3_000
+    ]
     assert len(moved) <= 4 and any(10_000 < at < 13_000 for at in moved), said
-    assert max(later - at for at, later in zip(said, said[1:], strict=False)) <= meter.tell_again + 10.0
+    assert max(later - at for at, later in zip(said, said[1:], strict=False)) <= meter.max_report_interval + 10.0
     assert said[0] <= meter.window, "and the first word comes before anything moved"
 
 
@@ -149,22 +153,22 @@
             while due < at:
                 meter.arrived(due, "g", False, 160.0)
                 due += chance.expovariate(1 / 400)
-            told = meter.news(at) or told
+            told = meter.report_if_due(at) or told
             if at > 6_000.0:
                 sums, looks = sums + told[0], looks + 1
     assert sums / looks == pytest.approx(0.4, rel=0.04)
 
 
 def states_of(gauge, now, loaded, plan=None, age=None):
-    standing = [Standing(zone, 2.0, age) for zone in SIX.zones for _ in range(5)]
+    standing = [ServingInvoker(zone, 2.0, age) for zone in SIX.zones for _ in range(5)]
     return gauge.states(now, standing, loaded, plan)
 
 
 def test_capacity_is_the_views_and_a_member_that_lies_of_its_load_or_its_home_moves_little():
-    honest = [Loaded(zone, 1.0, 0.2, 1.1, 1.0) for zone in SIX.zones for _ in range(4)]
+    honest = [LoadReport(zone, 1.0, 0.2, 1.1, 1.0) for zone in SIX.zones for _ in range(4)]
     found = states_of(Gauge(SIX), 0.0, honest)
     assert found["a1"].now == 10.0 and found["a1"].free == 4.0 and found["a1"].trust == 1.0
-    lies = [*honest, Loaded("a1", 1e9, 1e9, 0.0, 0.0), Loaded("nowhere", 5.0, 5.0, 0.0, 0.0)]
+    lies = [*honest, LoadReport("a1", 1e9, 1e9, 0.0, 0.0), LoadReport("nowhere", 5.0, 5.0, 0.0, 0.0)]
     found = states_of(Gauge(SIX), 0.0, lies)
     assert found["a1"].now == 10.0 and found["a1"].free <= 14.0 and found["a1"].trust == 1.0
     cold = states_of(Gauge(SIX, GaugeLimits(0.25, 10_000.0)), 0.0, honest, age=0.0)
@@ -174,26 +178,28 @@
     after = states_of(gauge, 1_000.0, cut[4:])["a1"]
     assert after.now == pytest.approx(10.0 - 4 * 1.2) and states_of(gauge, 40_000.0, cut[4:])["a1"].now == 10.0
     gauge = Gauge(SIX)
-    ill = gauge.states(0.0, [Standing("a1", 4.0, None, True, "a1-0"), Standing("a1", 4.0, None, cell="a1-1")], [])
+    ill = gauge.states(
+        0.0, [ServingInvoker("a1", 4.0, None, True, "a1-0"), ServingInvoker("a1", 4.0, None, cell="a1-1")], []
+    )
     assert ill["a1"].warm == 4.0 and gauge.cells == {"a1": {"a1-0": 0.0, "a1-1": 4.0}}
 
 
 def test_a_grey_zone_counts_for_what_it_does_one_with_too_much_work_for_all_of_it_and_both_come_back():
     gauge = Gauge(SIX)
-    grey = [Loaded("a1", 1.0, 0.0, 0.2, 0.1) for _ in range(4)]
+    grey = [LoadReport("a1", 1.0, 0.0, 0.2, 0.1) for _ in range(4)]
     assert states_of(gauge, 0.0, grey)["a1"].trust == pytest.approx(4 * 0.2 / 10)
-    full = [Loaded("b1", 4.0, 0.0, 2.4, 0.1) for _ in range(4)]
+    full = [LoadReport("b1", 4.0, 0.0, 2.4, 0.1) for _ in range(4)]
     assert states_of(gauge, 0.0, full)["b1"].trust >= 0.9
-    well = [Loaded("a1", 1.0, 0.0, 0.2, 1.0) for _ in range(4)]
+    well = [LoadReport("a1", 1.0, 0.0, 0.2, 1.0) for _ in range(4)]
     trusts = [states_of(gauge, 500.0 * n, well)["a1"].trust for n in range(60)]
     assert trusts == sorted(trusts) and trusts[-1] == 1.0 and trusts[10] < 1.0
 
 
 def test_a_zone_whose_trickle_comes_back_late_is_not_believed_again_and_after_a_relapse_more_slowly():
     """Seen: a zone ten times too slow answered the little it got, was believed, and got 0.64 of its traffic again."""
-    gauge, ill = Gauge(SIX), [Loaded("a1", 1.0, 0.0, 0.1, 0.1, 0.0) for _ in range(4)]
-    late = [Loaded("a1", 1.0, 0.0, 0.1, 1.0, 0.2) for _ in range(4)]
-    good = [Loaded("a1", 1.0, 0.0, 0.1, 1.0, 0.9) for _ in range(4)]
+    gauge, ill = Gauge(SIX), [LoadReport("a1", 1.0, 0.0, 0.1, 0.1, 0.0) for _ in range(4)]
+    late = [LoadReport("a1", 1.0, 0.0, 0.1, 1.0, 0.2) for _ in range(4)]
+    good = [LoadReport("a1", 1.0, 0.0, 0.1, 1.0, 0.9) for _ in range(4)]
 
     def after(first, span, told):
         trusts = [states_of(gauge, first + 500.0 * n, told)["a1"].trust for n in range(int(span / 500) + 1)]
@@ -203,18 +209,18 @@
     assert after(31_000.0, 2_500.0, good)[1] == 0.08, "one step at once, the next after three seconds"
     assert after(34_000.0, 0.0, good)[1] == 0.16 and after(34_500.0, 0.0, ill)[1] == 0.04
     assert after(35_000.0, 5_000.0, good)[1] == 0.04 and after(40_500.0, 0.0, good)[1] == 0.08, "six after a relapse"
-    assert after(41_000.0, 40_000.0, good)[1] == 1.0 and "a1" in gauge.steps
-    assert after(81_500.0, 61_000.0, good)[1] == 1.0 and "a1" not in gauge.steps, "and it is forgiven in the end"
+    assert after(41_000.0, 40_000.0, good)[1] == 1.0 and "a1" in gauge.regain_steps
+    assert after(81_500.0, 61_000.0, good)[1] == 1.0 and "a1" not in gauge.regain_steps, "and it is forgiven in the end"
 
 
 def test_what_waits_behind_loads_or_is_told_by_two_ends_says_nothing_of_health():
     """Seen: at a day's begin two forwards behind cold loads took a zone's trust, and its cap, for half a minute."""
 
     def home(*ends):
-        meter = Meter("a1", runs={"g": 100.0})
+        meter = Meter("a1", run_times={"g": 100.0})
         for n, (outcome, warm, elapsed) in enumerate(ends):
             meter.ended(100.0 * n, "g", "a1", elapsed, outcome, warm, 600.0)
-        return meter.figures(2_000.0)[3:]
+        return meter.measure(2_000.0)[3:]
 
     gone, cold, late = ("timed out", True, 2_000.0), ("returned", False, 1_500.0), ("returned", True, 900.0)
     good, missed = ("returned", True, 90.0), ("miss", True, 2.0)
@@ -227,19 +233,19 @@
 
 def test_a_zone_that_was_empty_is_judged_by_who_stands_there_now():
     """Seen: it came back and got a twenty-fifth of its traffic for 16 s, by what was said of the ones before."""
-    gauge, ill = Gauge(SIX), [Loaded("a1", 1.0, 0.0, 0.1, 0.1, 0.0, at=0.0) for _ in range(4)]
+    gauge, ill = Gauge(SIX), [LoadReport("a1", 1.0, 0.0, 0.1, 0.1, 0.0, reported_at=0.0) for _ in range(4)]
     assert states_of(gauge, 0.0, ill)["a1"].trust == 0.04
-    empty = gauge.states(5_000.0, [Standing("b1", 2.0)], ill)
+    empty = gauge.states(5_000.0, [ServingInvoker("b1", 2.0)], ill)
     assert empty["a1"].now == 0.0 and states_of(gauge, 6_000.0, ill)["a1"].trust == 1.0
-    rows = [replace(one, at=None) for one in ill]
+    rows = [replace(one, reported_at=None) for one in ill]
     assert states_of(gauge, 7_000.0, rows)["a1"].trust == 1.0, "nor by rows, which may be as old"
-    assert states_of(gauge, 8_000.0, [replace(one, at=7_500.0) for one in ill])["a1"].trust == 0.04
-    assert gauge.steps["a1"] == 2 * gauge.limits.regain_every, "another fall is a relapse"
-    meter = Meter("a1", runs={"g": 100.0})
+    assert states_of(gauge, 8_000.0, [replace(one, reported_at=7_500.0) for one in ill])["a1"].trust == 0.04
+    assert gauge.regain_steps["a1"] == 2 * gauge.limits.regain_interval, "another fall is a relapse"
+    meter = Meter("a1", run_times={"g": 100.0})
     for n in range(8):
         meter.ended(n, "g", "a1", 2_000.0, "timed out", True, 600.0)
-    meter.emptied()
-    assert meter.figures(10.0)[3:] == (-1.0, -1.0)
+    meter.forget_outcomes()
+    assert meter.measure(10.0)[3:] == (-1.0, -1.0)
 
 
 def test_where_most_would_be_believed_no_more_all_are_used():
@@ -247,7 +253,7 @@
     gauge = Gauge(SIX)
 
     def ill(zones):
-        return [Loaded(zone, 1.0, 0.0, 0.1, 0.1, 0.0) for zone in zones for _ in range(4)]
+        return [LoadReport(zone, 1.0, 0.0, 0.1, 0.1, 0.0) for zone in zones for _ in range(4)]
 
     two = states_of(gauge, 0.0, ill(SIX.zones[:2]))
     assert [two[zone].trust for zone in SIX.zones] == [0.04, 0.04, 1.0, 1.0, 1.0, 1.0]
@@ -257,35 +263,35 @@
 
 def test_what_a_member_told_directly_counts_for_a_while_and_then_its_row():
     """Seen at 300: rows of the group that were half a minute old hid what members had told directly."""
-    reports = Reports(most=2)
+    reports = Reports(max_members=2)
     assert reports.of(0.0, "c1", (1.0,)) == ((1.0,), None)
-    reports.heard(0.0, "c1", (5.0,))
+    reports.receive(0.0, "c1", (5.0,))
     assert reports.of(11_000.0, "c1", (1.0,)) == ((5.0,), 0.0) and reports.of(13_000.0, "c1", (6.0,)) == ((6.0,), None)
     for name in ("c2", "c3"):
-        reports.heard(0.0, name, (1.0,))
+        reports.receive(0.0, name, (1.0,))
     reports.keep(["c1"])
     assert list(reports.direct) == ["c1"]
 
 
 def test_costs_follow_what_most_measure_and_neither_jitter_nor_one_that_lies():
     topology = Topology({"a1": "a", "a2": "a", "b1": "b"}, {("a1", "b1"): 5.0})
-    ways = Ways("a1", topology)
+    ways = ZoneCosts("a1", topology)
     for n in range(40):
-        ways.answered("b1", 40.0 + n % 7)
-        ways.answered("b1" if n % 10 == 0 else "a2", 900.0 if n % 10 == 0 else 2.0)
-        ways.answered("nowhere", 1.0)
-    assert ways.row() == {"a2": 1.0, "b1": pytest.approx(21.5, abs=1.5)}
-    assert ways.weigh([]) and topology.cost("b1", "a1") == pytest.approx(21.5, abs=1.5)
+        ways.record_round_trip("b1", 40.0 + n % 7)
+        ways.record_round_trip("b1" if n % 10 == 0 else "a2", 900.0 if n % 10 == 0 else 2.0)
+        ways.record_round_trip("nowhere", 1.0)
+    assert ways.measured() == {"a2": 1.0, "b1": pytest.approx(21.5, abs=1.5)}
+    assert ways.update([]) and topology.cost("b1", "a1") == pytest.approx(21.5, abs=1.5)
     held = topology.cost("a1", "b1")
     for name in ("c1", "c2"):
-        ways.heard(name, "b1", {"a1": held * 1.1, "b9": 1.0})
-    ways.heard("liar", "b1", {"a1": 1e5})
-    assert not ways.weigh(["c1", "c2", "liar"]) and topology.cost("a1", "b1") == held
+        ways.receive(name, "b1", {"a1": held * 1.1, "b9": 1.0})
+    ways.receive("liar", "b1", {"a1": 1e5})
+    assert not ways.update(["c1", "c2", "liar"]) and topology.cost("a1", "b1") == held
     for name in ("c1", "c2"):
-        ways.heard(name, "b1", {"a1": 3 * held})
-    assert ways.weigh(["c1", "c2", "liar"]) and topology.cost("a1", "b1") == 3 * held
-    ways.weigh([])
-    assert ways.told == {}
+        ways.receive(name, "b1", {"a1": 3 * held})
+    assert ways.update(["c1", "c2", "liar"]) and topology.cost("a1", "b1") == 3 * held
+    ways.update([])
+    assert ways.reported == {}
 
 
 # Words as bytes, the ballot on disk, the way to all
@@ -293,12 +299,12 @@
 
 def says():
     plan = replace(plan_of({"a1": 0.5, "a2": 0.5}), caps={"a1": 3.0}, reason="why", drained=("b1",))
-    one, other = Seats((2, 1), ("c1", "c2")), Seats((2, 2), ("c2",))
+    one, other = VoterSet((2, 1), ("c1", "c2")), VoterSet((2, 2), ("c2",))
     return [
-        Said("c1", (2, 3), Word("beat", "c1", 2, 7, plan, (2, 2), 4, one)),
-        Said("c1", (0, 0)),
-        Said("c2", (2, 3), None, Renewal(plan, 5, 30.0, other), ("127.0.0.1:1", "127.0.0.1:2")),
-        Said("c3", (2, 3), figures=(1.0, 2.0, 3.0, -1.0), ways={"b1": 4.5}),
+        PlanMessage("c1", (2, 3), CouncilMessage("beat", "c1", 2, 7, plan, (2, 2), 4, one)),
+        PlanMessage("c1", (0, 0)),
+        PlanMessage("c2", (2, 3), None, Renewal(plan, 5, 30.0, other), ("127.0.0.1:1", "127.0.0.1:2")),
+        PlanMessage("c3", (2, 3), metrics=(1.0, 2.0, 3.0, -1.0), costs={"b1": 4.5}),
     ]
 
 
@@ -308,35 +314,37 @@
     data = codec.encode(said)
     assert codec.decode(data) == said
     for spoilt in (b"", data[:10], data + b"x", data[:-1], bytes([data[0] ^ 1]) + data[1:], b"\xff" * 70_000):
-        with pytest.raises(SaidError):
+        with pytest.raises(PlanMessageError):
             codec.decode(spoilt)
-    with pytest.raises(SaidError):
+    with pytest.raises(PlanMessageError):
         Codec("g", "other").decode(data)
 
 
 @given(st.binary(max_size=60))
 @FAST
 def test_a_ballot_is_read_as_kept_and_one_that_was_torn_is_none(garbage):
-    told = Ballot(7, "c3", Seats((6, 2), ("c1", "c3")))
-    data = kept(told)
-    assert ballot(data) == told
+    told = Ballot(7, "c3", VoterSet((6, 2), ("c1", "c3")))
+    data = encode_ballot(told)
+    assert decode_ballot(data) == told
     for n in range(len(data) - 1):
-        with pytest.raises(SaidError):
-            ballot(data[:n])
-    with pytest.raises(SaidError):
-        ballot(garbage)
+        with pytest.raises(PlanMessageError):
+            decode_ballot(data[:n])
+    with pytest.raises(PlanMessageError):
+        decode_ballot(garbage)
 
 
 @pytest.mark.parametrize("many", [0, 1, 2, 10, 299])
 def test_a_plan_reaches_each_once_in_two_steps_and_is_told_anew_when_it_changed_or_grew_old(many):
     spread, renewal = Spread(), Renewal(plan_of({"a1": 1.0}), 1, 0.0)
     others = [f"127.0.0.1:{n}" for n in range(many)]
-    passes = spread.lead(0.0, renewal, others)
-    told = [one.to for one in passes] + [two.to for one in passes for two in Spread.on(one.renewal, one.pass_on)]
+    passes = spread.distribute(0.0, renewal, others)
+    told = [one.to for one in passes] + [two.to for one in passes for two in Spread.relay(one.renewal, one.pass_on)]
     assert sorted(told) == sorted(others) and len(passes) <= 18
-    assert spread.lead(100.0, renewal, others) == [] and (len(spread.lead(2_100.0, renewal, others)) > 0) is (many > 0)
+    assert spread.distribute(100.0, renewal, others) == [] and (
+        len(spread.distribute(2_100.0, renewal, others)) > 0
+    ) is (many > 0)
     newer = replace(renewal, plan=replace(renewal.plan, epoch=(1, 2)))
-    assert (len(spread.lead(2_200.0, newer, others)) > 0) is (many > 0)
+    assert (len(spread.distribute(2_200.0, newer, others)) > 0) is (many > 0)
 
 
 # The module
