--- a/sprucespool/daemon/failover.py
+++ b/sprucespool/daemon/failover.py
@@ -285,7 +285,7 @@
         return self.codec.encode(PlanMessage(self.failover.name, self.failover.epoch, None, renewal))
 
     def _heard(self, data: bytes):
-        """Raises SaidError with what was expected."""
+        """Raises PlanMessageError with what was expected."""
         said, now = self.codec.decode(data), self.now()
         if len(self.follows) < 4096 or said.sender in self.follows:
             self.follows[said.sender] = said.epoch
--- a/sprucespool/failover/codec.py
+++ b/sprucespool/failover/codec.py
@@ -18,7 +18,7 @@
 from sprucespool.failover.plan import Plan
 from sprucespool.failover.voter_selection import MAX_VOTERS
 
-MOST_BYTES, SEAL, MOST_ZONES, LONGEST, MOST_ON, FARTHEST = 65_536, 16, 64, 128, 512, 2**53
+MAX_MESSAGE_BYTES, SEAL_BYTES, MAX_ZONES, MAX_NAME_LENGTH, MAX_PASS_ON, COUNT_LIMIT = 65_536, 16, 64, 128, 512, 2**53
 Shares = dict[str, dict[str, float]]
 
 
@@ -41,7 +41,7 @@
     costs: dict[str, float] = field(default_factory=dict)
 
 
-class _Plan(msgspec.Struct, array_like=True):
+class _WirePlan(msgspec.Struct, array_like=True):
     epoch: tuple[int, int]
     free: Shares
     bound: Shares
@@ -50,85 +50,87 @@
     drained: list[str]
 
 
-class _Seats(msgspec.Struct, array_like=True):
+class _WireVoterSet(msgspec.Struct, array_like=True):
     epoch: tuple[int, int]
     voters: list[str]
 
 
-class _Word(msgspec.Struct, array_like=True):
+class _WireCouncilMessage(msgspec.Struct, array_like=True):
     kind: Literal["may", "might", "vote", "voted", "beat", "held"]
     term: int
     number: int
-    plan: _Plan | None
+    plan: _WirePlan | None
     decided: tuple[int, int]
     renewals: int
-    voter_set: _Seats
+    voter_set: _WireVoterSet
 
 
 class _Wire(msgspec.Struct, array_like=True):
     sender: str
     epoch: tuple[int, int]
-    word: _Word | None
-    plan: _Plan | None
+    council_message: _WireCouncilMessage | None
+    plan: _WirePlan | None
     renewals: int
     age: float
     pass_on: list[str]
-    figures: list[float]
-    ways: dict[str, float]
-    voter_set: _Seats
+    metrics: list[float]
+    costs: dict[str, float]
+    voter_set: _WireVoterSet
 
 
 _ENCODER, _DECODER = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(_Wire)
 
 
-def _plan_out(plan: Plan | None) -> _Plan | None:
+def _plan_out(plan: Plan | None) -> _WirePlan | None:
     return (
-        None if plan is None else _Plan(plan.epoch, plan.free, plan.bound, plan.caps, plan.reason, list(plan.drained))
+        None
+        if plan is None
+        else _WirePlan(plan.epoch, plan.free, plan.bound, plan.caps, plan.reason, list(plan.drained))
     )
 
 
-def _bounded(good: bool, expected: str):
-    if not good:
+def _require(condition: bool, expected: str):
+    if not condition:
         raise PlanMessageError(f"expected {expected}")
 
 
-def _counts(*figures: int):
-    _bounded(all(0 <= figure < FARTHEST for figure in figures), "counts from 0 to 2^53")
+def _require_counts(*counts: int):
+    _require(all(0 <= count < COUNT_LIMIT for count in counts), "counts from 0 to 2^53")
 
 
-def _plan_in(told: _Plan | None) -> Plan | None:
-    if told is None:
+def _plan_in(encoded: _WirePlan | None) -> Plan | None:
+    if encoded is None:
         return None
-    _counts(*told.epoch)
-    rows = [*told.free.values(), *told.bound.values(), told.caps]
-    _bounded(
-        len(told.free) <= MOST_ZONES
-        and len(told.bound) <= MOST_ZONES
-        and len(told.drained) <= MOST_ZONES
-        and all(len(row) <= MOST_ZONES for row in rows),
-        f"{MOST_ZONES} zones at the most",
+    _require_counts(*encoded.epoch)
+    rows = [*encoded.free.values(), *encoded.bound.values(), encoded.caps]
+    _require(
+        len(encoded.free) <= MAX_ZONES
+        and len(encoded.bound) <= MAX_ZONES
+        and len(encoded.drained) <= MAX_ZONES
+        and all(len(row) <= MAX_ZONES for row in rows),
+        f"{MAX_ZONES} zones at the most",
     )
-    _bounded(
-        len(told.reason) <= 1_000 and all(len(name) <= LONGEST for row in rows for name in row),
-        f"names of up to {LONGEST} characters",
+    _require(
+        len(encoded.reason) <= 1_000 and all(len(name) <= MAX_NAME_LENGTH for row in rows for name in row),
+        f"names of up to {MAX_NAME_LENGTH} characters",
     )
-    return Plan(told.epoch, told.free, told.bound, told.caps, told.reason, tuple(told.drained))
+    return Plan(encoded.epoch, encoded.free, encoded.bound, encoded.caps, encoded.reason, tuple(encoded.drained))
 
 
-def _seats_out(voter_set: VoterSet) -> _Seats:
-    return _Seats(voter_set.epoch, list(voter_set.voters))
+def _voters_out(voter_set: VoterSet) -> _WireVoterSet:
+    return _WireVoterSet(voter_set.epoch, list(voter_set.voters))
 
 
-def _seats_in(told: _Seats) -> VoterSet:
-    _counts(*told.epoch)
+def _voters_in(encoded: _WireVoterSet) -> VoterSet:
+    _require_counts(*encoded.epoch)
     # One more than ever is in office, for a while.
-    _bounded(
-        len(told.voters) <= MAX_VOTERS + 1
-        and len(set(told.voters)) == len(told.voters)
-        and all(0 < len(name) <= LONGEST for name in told.voters),
+    _require(
+        len(encoded.voters) <= MAX_VOTERS + 1
+        and len(set(encoded.voters)) == len(encoded.voters)
+        and all(0 < len(name) <= MAX_NAME_LENGTH for name in encoded.voters),
         f"up to {MAX_VOTERS} different voters",
     )
-    return VoterSet(told.epoch, tuple(told.voters))
+    return VoterSet(encoded.epoch, tuple(encoded.voters))
 
 
 class Codec:
@@ -138,70 +140,76 @@
         self.key = hashlib.blake2b(f"failover\0{group}\0{mark}".encode(), digest_size=32).digest()
 
     def _seal(self, data: bytes) -> bytes:
-        return hashlib.blake2b(data, key=self.key, digest_size=SEAL).digest()
+        return hashlib.blake2b(data, key=self.key, digest_size=SEAL_BYTES).digest()
 
-    def encode(self, said: PlanMessage) -> bytes:
-        word, renewal = said.council_message, said.renewal
+    def encode(self, message: PlanMessage) -> bytes:
+        council_message, renewal = message.council_message, message.renewal
         wire = _Wire(
-            said.sender,
-            said.epoch,
+            message.sender,
+            message.epoch,
             None
-            if word is None
-            else _Word(
-                word.kind,
-                word.term,
-                word.number,
-                _plan_out(word.plan),
-                word.decided,
-                word.renewals,
-                _seats_out(word.voter_set),
+            if council_message is None
+            else _WireCouncilMessage(
+                council_message.kind,
+                council_message.term,
+                council_message.number,
+                _plan_out(council_message.plan),
+                council_message.decided,
+                council_message.renewals,
+                _voters_out(council_message.voter_set),
             ),
             None if renewal is None else _plan_out(renewal.plan),
             0 if renewal is None else renewal.renewals,
             0.0 if renewal is None else renewal.age,
-            list(said.pass_on),
-            list(said.metrics),
-            said.costs,
-            _seats_out(VoterSet() if renewal is None else renewal.voter_set),
+            list(message.pass_on),
+            list(message.metrics),
+            message.costs,
+            _voters_out(VoterSet() if renewal is None else renewal.voter_set),
         )
         data = _ENCODER.encode(wire)
         return self._seal(data) + data
 
     def decode(self, data: bytes) -> PlanMessage:
         """Raises SaidError."""
-        _bounded(SEAL < len(data) <= MOST_BYTES, f"{SEAL} to {MOST_BYTES} bytes, got {len(data)}")
-        body = data[SEAL:]
-        _bounded(hmac.compare_digest(data[:SEAL], self._seal(body)), "the seal of this group")
+        _require(
+            SEAL_BYTES < len(data) <= MAX_MESSAGE_BYTES, f"{SEAL_BYTES} to {MAX_MESSAGE_BYTES} bytes, got {len(data)}"
+        )
+        body = data[SEAL_BYTES:]
+        _require(hmac.compare_digest(data[:SEAL_BYTES], self._seal(body)), "the seal of this group")
         try:
             wire = _DECODER.decode(body)
-        except (msgspec.DecodeError, msgspec.ValidationError, RecursionError) as problem:
-            raise PlanMessageError(f"expected a word of the council: {problem}") from None
-        _counts(*wire.epoch, wire.renewals)
-        _bounded(0 < len(wire.sender) <= LONGEST and len(wire.pass_on) <= MOST_ON, "a sender and a short list")
-        _bounded(0.0 <= wire.age < 1e9, "an age in ms")
-        _bounded(len(wire.figures) <= 8 and all(-1.0 <= one < 1e9 for one in wire.figures), "a few figures")
-        _bounded(
-            len(wire.ways) <= MOST_ZONES
-            and all(len(name) <= LONGEST for name in wire.ways)
-            and all(0.0 <= one < 1e6 for one in wire.ways.values()),
+        except (msgspec.DecodeError, msgspec.ValidationError, RecursionError) as error:
+            raise PlanMessageError(f"expected a word of the council: {error}") from None
+        _require_counts(*wire.epoch, wire.renewals)
+        _require(
+            0 < len(wire.sender) <= MAX_NAME_LENGTH and len(wire.pass_on) <= MAX_PASS_ON, "a sender and a short list"
+        )
+        _require(0.0 <= wire.age < 1e9, "an age in ms")
+        _require(len(wire.metrics) <= 8 and all(-1.0 <= one < 1e9 for one in wire.metrics), "a few figures")
+        _require(
+            len(wire.costs) <= MAX_ZONES
+            and all(len(name) <= MAX_NAME_LENGTH for name in wire.costs)
+            and all(0.0 <= one < 1e6 for one in wire.costs.values()),
             "ways to a few zones, ms",
         )
-        word, plan = None, _plan_in(wire.plan)
-        if wire.word is not None:
-            told = wire.word
-            _counts(told.term, told.number, told.renewals, *told.decided)
-            word = CouncilMessage(
-                told.kind,
+        council_message, plan = None, _plan_in(wire.plan)
+        if wire.council_message is not None:
+            encoded = wire.council_message
+            _require_counts(encoded.term, encoded.number, encoded.renewals, *encoded.decided)
+            council_message = CouncilMessage(
+                encoded.kind,
                 wire.sender,
-                told.term,
-                told.number,
-                _plan_in(told.plan),
-                told.decided,
-                told.renewals,
-                _seats_in(told.voter_set),
+                encoded.term,
+                encoded.number,
+                _plan_in(encoded.plan),
+                encoded.decided,
+                encoded.renewals,
+                _voters_in(encoded.voter_set),
             )
-        renewal = None if plan is None else Renewal(plan, wire.renewals, wire.age, _seats_in(wire.voter_set))
-        return PlanMessage(wire.sender, wire.epoch, word, renewal, tuple(wire.pass_on), tuple(wire.figures), wire.ways)
+        renewal = None if plan is None else Renewal(plan, wire.renewals, wire.age, _voters_in(wire.voter_set))
+        return PlanMessage(
+            wire.sender, wire.epoch, council_message, renewal, tuple(wire.pass_on), tuple(wire.metrics), wire.costs
+        )
 
 
 def encode_ballot(ballot: Ballot) -> bytes:
@@ -214,10 +222,10 @@
     """Raises SaidError on what was torn or spoilt."""
     mark, _, rest = data.partition(b" ")
     rest = rest.rstrip(b"\n")
-    _bounded(len(mark) == 8 and mark == b"%08x" % zlib.crc32(rest), "a ballot with its checksum")
+    _require(len(mark) == 8 and mark == b"%08x" % zlib.crc32(rest), "a ballot with its checksum")
     try:
         term, voted, epoch, voters = msgspec.json.decode(rest, type=tuple[int, str, tuple[int, int], list[str]])
-    except (msgspec.DecodeError, msgspec.ValidationError) as problem:
-        raise PlanMessageError(f"expected a ballot: {problem}") from None
-    _counts(term)
-    return Ballot(term, voted, _seats_in(_Seats(epoch, voters)))
+    except (msgspec.DecodeError, msgspec.ValidationError) as error:
+        raise PlanMessageError(f"expected a ballot: {error}") from None
+    _require_counts(term)
+    return Ballot(term, voted, _voters_in(_WireVoterSet(epoch, voters)))
--- a/sprucespool/failover/council.py
+++ b/sprucespool/failover/council.py
@@ -98,13 +98,13 @@
 class CouncilLimits:
     """Times in ms. `drift`: how much faster one clock may run than another."""
 
-    beat: float = 500.0
-    least_wait: float = 1_500.0
-    most_wait: float = 3_000.0
+    beat_interval: float = 500.0
+    min_election_wait: float = 1_500.0
+    max_election_wait: float = 3_000.0
     lease: float = 1_400.0
     drift: float = 0.05
     # Without a renewal for so long a controller goes by the safe plan.
-    hold: float = 8_000.0
+    plan_lifetime: float = 8_000.0
     # A voter that lost what it kept gives no vote before, so that any term it may have voted in is over.
     lost_ballot_wait: float = 10_000.0
 
@@ -133,7 +133,7 @@
     election_at: float = math.inf
     beat_at: float = math.inf
     number: int = 0
-    drawn: int = 0
+    draws: int = 0
     votes_received: set[str] = field(default_factory=set)
     # At the leader: beats that are out, when each was sent, who answered.
     beats: dict[int, tuple[float, tuple[int, int]]] = field(default_factory=dict)
@@ -168,11 +168,11 @@
 
     def in_force(self, now: float) -> Plan | None:
         """The plan to follow, or None: then go by the safe one."""
-        return self.decided if self.decided is not None and now - self.renewed_at < self.limits.hold else None
+        return self.decided if self.decided is not None and now - self.renewed_at < self.limits.plan_lifetime else None
 
     def renewal(self, now: float) -> Renewal | None:
         """What rides to all others."""
-        if self.decided is None or now - self.renewed_at >= self.limits.hold:
+        if self.decided is None or now - self.renewed_at >= self.limits.plan_lifetime:
             return None
         return Renewal(self.decided, self.renewals, max(0.0, now - self.renewed_at), self.voter_set)
 
@@ -182,13 +182,15 @@
 
     # Time
 
-    def _chance(self, span: float) -> float:
-        self.drawn += 1
-        return span * (zlib.crc32(b"%d:%s:%d" % (self.seed, self.name.encode(), self.drawn)) / 2**32)
+    def _random_delay(self, max_delay: float) -> float:
+        self.draws += 1
+        return max_delay * (zlib.crc32(b"%d:%s:%d" % (self.seed, self.name.encode(), self.draws)) / 2**32)
 
-    def _wait(self, now: float):
+    def _reset_election_timer(self, now: float):
         limits = self.limits
-        self.election_at = now + limits.least_wait + self._chance(limits.most_wait - limits.least_wait)
+        self.election_at = (
+            now + limits.min_election_wait + self._random_delay(limits.max_election_wait - limits.min_election_wait)
+        )
 
     def tick(self, now: float) -> list[Effect]:
         self.now = now = max(self.now, now)
@@ -196,14 +198,14 @@
             return []
         if math.isnan(self.started_at):
             self.started_at = now
-            self._wait(now)
+            self._reset_election_timer(now)
         if self.role == "leader":
             if now >= self.lease_until + self.limits.lease:
                 # Most have not answered for long: there may be another by now.
                 return self._step_down(now)
-            return self._beat(now) if now >= self.beat_at else []
+            return self._send_beat(now) if now >= self.beat_at else []
         if now >= self.election_at:
-            self._wait(now)
+            self._reset_election_timer(now)
             return self._request_pre_votes(now)
         return []
 
@@ -215,8 +217,10 @@
         if not self._may_vote(now):
             return []
         self.role, self.leader, self.votes_received = "asking", NOBODY, {self.name}
-        word = CouncilMessage("may", self.name, self.ballot.term + 1, voter_set=self.voter_set)
-        return self._to_others(word) + (self._start_election(now) if len(self.votes_received) >= self.majority else [])
+        message = CouncilMessage("may", self.name, self.ballot.term + 1, voter_set=self.voter_set)
+        return self._to_others(message) + (
+            self._start_election(now) if len(self.votes_received) >= self.majority else []
+        )
 
     def _start_election(self, now: float) -> list[Effect]:
         self.role, self.votes_received = "candidate", {self.name}
@@ -233,12 +237,12 @@
         self.answers.clear()
         # Its own plan begins where the newest that it holds left off, under its own term.
         plans = [one for one in (self.plan, self.decided) if one is not None]
-        held = max(plans, key=lambda one: one.epoch, default=None)
-        self.plan = replace(held, epoch=(self.ballot.term, 1)) if held is not None else None
+        newest = max(plans, key=lambda one: one.epoch, default=None)
+        self.plan = replace(newest, epoch=(self.ballot.term, 1)) if newest is not None else None
         self.lease_until = now + self.limits.lease
         self.election_at = math.inf
         self._store_ballot(replace(self.ballot, voter_set=replace(self.voter_set, epoch=(self.ballot.term, 1))))
-        return [StoreBallot(self.ballot), *self._beat(now)]
+        return [StoreBallot(self.ballot), *self._send_beat(now)]
 
     def change_voters(self, now: float, voters: tuple[str, ...]) -> list[Effect]:
         """At the leader: these are to have a vote, one more or one less than now. Nothing happens elsewhere, or while
@@ -256,21 +260,21 @@
         # Answers to what was said under the set before count no more.
         self.beats.clear()
         self.answers.clear()
-        return [StoreBallot(self.ballot), *self._beat(now)]
+        return [StoreBallot(self.ballot), *self._send_beat(now)]
 
     def _step_down(self, now: float) -> list[Effect]:
         self.role, self.leader, self.beat_at = "follower", NOBODY, math.inf
         self.beats.clear()
         self.answers.clear()
-        self._wait(now)
+        self._reset_election_timer(now)
         return []
 
     def _store_ballot(self, ballot: Ballot):
         self.ballot = self.stored_ballot = ballot
         self.voters = ballot.voter_set.voters
 
-    def _to_others(self, word: CouncilMessage) -> list[Effect]:
-        return [SendToVoter(voter, word) for voter in self.voters if voter != self.name]
+    def _to_others(self, message: CouncilMessage) -> list[Effect]:
+        return [SendToVoter(voter, message) for voter in self.voters if voter != self.name]
 
     # The leader
 
@@ -279,12 +283,12 @@
         self.now = now = max(self.now, now)
         if self.role != "leader":
             return []
-        before = self.plan.epoch[1] if self.plan is not None and self.plan.epoch[0] == self.ballot.term else 0
-        self.plan = replace(plan, epoch=(self.ballot.term, before + 1))
-        return self._beat(now)
+        last_number = self.plan.epoch[1] if self.plan is not None and self.plan.epoch[0] == self.ballot.term else 0
+        self.plan = replace(plan, epoch=(self.ballot.term, last_number + 1))
+        return self._send_beat(now)
 
-    def _beat(self, now: float) -> list[Effect]:
-        self.beat_at = now + self.limits.beat
+    def _send_beat(self, now: float) -> list[Effect]:
+        self.beat_at = now + self.limits.beat_interval
         self.number += 1
         epoch = self.plan.epoch if self.plan is not None else (0, 0)
         self.beats[self.number] = now, epoch
@@ -323,115 +327,115 @@
 
     # Hearing
 
-    def receive(self, now: float, word: CouncilMessage) -> list[Effect]:
+    def receive(self, now: float, message: CouncilMessage) -> list[Effect]:
         self.now = now = max(self.now, now)
-        asks = word.kind in ("may", "vote", "beat")
+        is_request = message.kind in ("may", "vote", "beat")
         voter_set = (
-            word.voter_set
-            if asks and word.voter_set.epoch >= self.voter_set.epoch and word.voter_set.voters
+            message.voter_set
+            if is_request and message.voter_set.epoch >= self.voter_set.epoch and message.voter_set.voters
             else self.voter_set
         )
-        if word.sender == self.name or word.sender not in voter_set.voters or self.name not in voter_set.voters:
+        if message.sender == self.name or message.sender not in voter_set.voters or self.name not in voter_set.voters:
             return []
         if math.isnan(self.started_at):
             self.started_at = now
-            self._wait(now)
-        if word.kind == "may":
-            return self._on_pre_vote(now, word)
-        if word.kind == "might":
-            if self.role == "asking" and word.term == self.ballot.term + 1:
-                self.votes_received.add(word.sender)
+            self._reset_election_timer(now)
+        if message.kind == "may":
+            return self._on_pre_vote(now, message)
+        if message.kind == "might":
+            if self.role == "asking" and message.term == self.ballot.term + 1:
+                self.votes_received.add(message.sender)
                 if len(self.votes_received) >= self.majority:
                     return self._start_election(now)
             return []
-        if word.term < self.ballot.term:
+        if message.term < self.ballot.term:
             # Who speaks in an old term hears of the newer one, and steps down.
             return (
-                [SendToVoter(word.sender, CouncilMessage("held", self.name, self.ballot.term))]
-                if word.kind == "beat"
+                [SendToVoter(message.sender, CouncilMessage("held", self.name, self.ballot.term))]
+                if message.kind == "beat"
                 else []
             )
         effects: list[Effect] = []
-        if word.kind == "vote":
-            return self._on_vote(now, word)
-        if word.term > self.ballot.term or voter_set.epoch > self.voter_set.epoch:
+        if message.kind == "vote":
+            return self._on_vote(now, message)
+        if message.term > self.ballot.term or voter_set.epoch > self.voter_set.epoch:
             # Who hears a leader gives nobody else its vote in that term, whatever it may have forgotten.
-            voted = word.sender if word.kind == "beat" else NOBODY
-            raised = word.term > self.ballot.term
-            self._store_ballot(Ballot(word.term, voted if raised else self.ballot.voted, voter_set))
+            voted = message.sender if message.kind == "beat" else NOBODY
+            raised = message.term > self.ballot.term
+            self._store_ballot(Ballot(message.term, voted if raised else self.ballot.voted, voter_set))
             effects.append(StoreBallot(self.ballot))
             if self.role != "follower":
                 self._step_down(now)
-        if word.kind == "voted":
-            if self.role == "candidate" and word.term == self.ballot.term:
-                self.votes_received.add(word.sender)
+        if message.kind == "voted":
+            if self.role == "candidate" and message.term == self.ballot.term:
+                self.votes_received.add(message.sender)
                 if len(self.votes_received) >= self.majority:
                     effects += self._become_leader(now)
-        elif word.kind == "beat":
-            effects += self._on_beat(now, word)
-        elif word.kind == "held" and self.role == "leader" and word.number in self.answers:
-            self.answers[word.number].add(word.sender)
-            self._count_answers(word.number)
+        elif message.kind == "beat":
+            effects += self._on_beat(now, message)
+        elif message.kind == "held" and self.role == "leader" and message.number in self.answers:
+            self.answers[message.number].add(message.sender)
+            self._count_answers(message.number)
         return effects
 
     def _no_leader_alive(self, now: float) -> bool:
         """No leader was heard for so long that its lease is over by any clock."""
         return now - self.last_beat_at >= self.limits.lease * (1 + self.limits.drift) and not self.leads(now)
 
-    def _on_pre_vote(self, now: float, word: CouncilMessage) -> list[Effect]:
+    def _on_pre_vote(self, now: float, message: CouncilMessage) -> list[Effect]:
         if (
-            word.term > self.ballot.term
-            and word.voter_set.epoch >= self.voter_set.epoch
+            message.term > self.ballot.term
+            and message.voter_set.epoch >= self.voter_set.epoch
             and self._no_leader_alive(now)
             and self._may_vote(now)
         ):
-            return [SendToVoter(word.sender, CouncilMessage("might", self.name, word.term))]
+            return [SendToVoter(message.sender, CouncilMessage("might", self.name, message.term))]
         return []
 
-    def _on_vote(self, now: float, word: CouncilMessage) -> list[Effect]:
-        if word.voter_set.epoch < self.voter_set.epoch:
+    def _on_vote(self, now: float, message: CouncilMessage) -> list[Effect]:
+        if message.voter_set.epoch < self.voter_set.epoch:
             return []  # a set of voters that it does not know may have been agreed on
         if (
             not self._may_vote(now)
             or not self._no_leader_alive(now)
-            or word.term <= self.ballot.term
-            and not (word.term == self.ballot.term and self.ballot.voted in (NOBODY, word.sender))
+            or message.term <= self.ballot.term
+            and not (message.term == self.ballot.term and self.ballot.voted in (NOBODY, message.sender))
         ):
             return []
         if self.role != "follower":
             self._step_down(now)
-        self._store_ballot(replace(self.ballot, term=word.term, voted=word.sender))
-        self._wait(now)
-        return [StoreBallot(self.ballot), SendToVoter(word.sender, CouncilMessage("voted", self.name, word.term))]
+        self._store_ballot(replace(self.ballot, term=message.term, voted=message.sender))
+        self._reset_election_timer(now)
+        return [StoreBallot(self.ballot), SendToVoter(message.sender, CouncilMessage("voted", self.name, message.term))]
 
-    def _on_beat(self, now: float, word: CouncilMessage) -> list[Effect]:
+    def _on_beat(self, now: float, message: CouncilMessage) -> list[Effect]:
         if self.role == "leader":
             return []  # two of one term: never, and if it were, neither yields to the other's word
-        self.role, self.leader, self.last_beat_at = "follower", word.sender, now
-        self._wait(now)
-        if word.plan is not None and (self.plan is None or word.plan.epoch > self.plan.epoch):
-            self.plan = word.plan
-        if self.plan is not None and word.decided == self.plan.epoch:
-            self.learn(now, Renewal(self.plan, word.renewals, 0.0))
-        return [SendToVoter(word.sender, CouncilMessage("held", self.name, word.term, word.number))]
-
-    def learn(self, now: float, told: Renewal) -> bool:
+        self.role, self.leader, self.last_beat_at = "follower", message.sender, now
+        self._reset_election_timer(now)
+        if message.plan is not None and (self.plan is None or message.plan.epoch > self.plan.epoch):
+            self.plan = message.plan
+        if self.plan is not None and message.decided == self.plan.epoch:
+            self.learn(now, Renewal(self.plan, message.renewals, 0.0))
+        return [SendToVoter(message.sender, CouncilMessage("held", self.name, message.term, message.number))]
+
+    def learn(self, now: float, renewal: Renewal) -> bool:
         """What rides on others' words: a plan in force. True if it was newer. Never back to an earlier epoch."""
         self.now = now = max(self.now, now)
-        if told.voter_set.epoch > self.voter_set.epoch and told.voter_set.voters:
+        if renewal.voter_set.epoch > self.voter_set.epoch and renewal.voter_set.voters:
             # Not kept on disk: it answered nobody by it.
-            self.ballot = replace(self.ballot, voter_set=told.voter_set)
-            self.voters = told.voter_set.voters
+            self.ballot = replace(self.ballot, voter_set=renewal.voter_set)
+            self.voters = renewal.voter_set.voters
             if self.role != "follower":
                 self._step_down(now)
-        held = self.decided
-        if held is not None and (told.plan.epoch, told.renewals) <= (held.epoch, self.renewals):
+        current = self.decided
+        if current is not None and (renewal.plan.epoch, renewal.renewals) <= (current.epoch, self.renewals):
             return False
-        if held is not None and told.plan.epoch == held.epoch and told.plan != held:
+        if current is not None and renewal.plan.epoch == current.epoch and renewal.plan != current:
             return False
-        newer = held is None or told.plan.epoch > held.epoch
-        self.decided, self.renewals = (told.plan if newer else held), told.renewals
-        self.renewed_at = max(now - told.age, self.renewed_at) if not newer else now - told.age
-        if self.plan is None or self.plan.epoch < told.plan.epoch:
-            self.plan = told.plan
+        newer = current is None or renewal.plan.epoch > current.epoch
+        self.decided, self.renewals = (renewal.plan if newer else current), renewal.renewals
+        self.renewed_at = max(now - renewal.age, self.renewed_at) if not newer else now - renewal.age
+        if self.plan is None or self.plan.epoch < renewal.plan.epoch:
+            self.plan = renewal.plan
         return True
--- a/sprucespool/failover/failover.py
+++ b/sprucespool/failover/failover.py
@@ -17,7 +17,7 @@
 from sprucespool.failover.topology import Topology
 from sprucespool.failover.voter_selection import VoterSelection
 
-LOOK_EVERY = 500.0
+CHECK_INTERVAL_MS = 500.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,22 +51,22 @@
         self.planner = Planner(self.topology, self.planner_limits)
         self.seating = VoterSelection(self.topology, len(self.voters), self.replace_after)
         # The zone of each member that may have a vote.
-        self.places: dict[str, str] = {}
+        self.member_zones: dict[str, str] = {}
         self.reported_voters = self.council.voters
-        self.now, self.look_at = 0.0, 0.0
+        self.now, self.check_at = 0.0, 0.0
         self.leading, self.epoch = False, (0, 0)
         self.events: list[FailoverEvent] = []
-        self._safe: Plan | None = None
+        self._fallback: Plan | None = None
 
     # What happens
 
     def update_states(self, now: float, states: Mapping[str, ZoneState]) -> None:
         self.now = max(self.now, now)
-        self.states, self._safe = dict(states), None
+        self.states, self._fallback = dict(states), None
 
-    def update_members(self, places: Mapping[str, str]) -> None:
+    def update_members(self, member_zones: Mapping[str, str]) -> None:
         """The zone of each member that is there, serves and speaks of plans, the own one among them."""
-        self.places = dict(places)
+        self.member_zones = dict(member_zones)
 
     @property
     def requested_drains(self) -> frozenset[str]:
@@ -86,29 +86,29 @@
         trial = Planner(self.topology, self.planner_limits, drained=zones)
         _, _, _, shed = trial.target(self.states)
         _, _, _, before = self.planner.target(self.states)
-        more = sum(shed.values()) - sum(before.values())
-        if more > 1e-6:
-            return f"{more:.1f} of the load would have to be shed: " + ", ".join(
+        additional = sum(shed.values()) - sum(before.values())
+        if additional > 1e-6:
+            return f"{additional:.1f} of the load would have to be shed: " + ", ".join(
                 f"{amount:.1f} of {zone}" for zone, amount in sorted(shed.items())
             )
         self.planner.drained = zones
         return ""
 
-    def receive(self, now: float, word: CouncilMessage) -> list[Effect]:
+    def receive(self, now: float, message: CouncilMessage) -> list[Effect]:
         self.now = max(self.now, now)
-        if word.plan is not None and (wrong := plan_errors(word.plan, self.topology)):
-            self._event("refused", word.plan.epoch, f"{word.sender}: {wrong[0]}")
-            word = replace(word, plan=None)
-        return self.council.receive(now, word)
+        if message.plan is not None and (errors := plan_errors(message.plan, self.topology)):
+            self._event("refused", message.plan.epoch, f"{message.sender}: {errors[0]}")
+            message = replace(message, plan=None)
+        return self.council.receive(now, message)
 
-    def receive_renewal(self, now: float, told: Renewal) -> None:
+    def receive_renewal(self, now: float, renewal: Renewal) -> None:
         self.now = max(self.now, now)
-        if wrong := plan_errors(told.plan, self.topology):
-            return self._event("refused", told.plan.epoch, wrong[0])
-        self.council.learn(now, told)
+        if errors := plan_errors(renewal.plan, self.topology):
+            return self._event("refused", renewal.plan.epoch, errors[0])
+        self.council.learn(now, renewal)
 
     def due(self) -> float:
-        return min(self.look_at, self.council.due())
+        return min(self.check_at, self.council.due())
 
     def tick(self, now: float) -> list[Effect]:
         self.now = now = max(self.now, now)
@@ -122,18 +122,18 @@
             if leads and self.council.plan is not None:
                 # What operators asked of an earlier leader holds on.
                 self.planner.drained = frozenset(self.council.plan.drained)
-        if now >= self.look_at:
-            self.look_at = now + LOOK_EVERY
+        if now >= self.check_at:
+            self.check_at = now + CHECK_INTERVAL_MS
             if leads and self.states:
-                held = self.council.plan
-                before = held if held is not None else home_plan(self.topology.zones)
+                council_plan = self.council.plan
+                before = council_plan if council_plan is not None else home_plan(self.topology.zones)
                 new = self.planner.next(now, self.states, before)
-                if new is not None or held is None:
+                if new is not None or council_plan is None:
                     effects += self.council.propose(now, new if new is not None else before)
-            if self.council.is_voter and self.places:
+            if self.council.is_voter and self.member_zones:
                 if not leads:
-                    self.seating.watch(now, self.council.voters, self.places)
-                elif voters := self.seating.next(now, self.name, self.council.voters, self.places):
+                    self.seating.watch(now, self.council.voters, self.member_zones)
+                elif voters := self.seating.next(now, self.name, self.council.voters, self.member_zones):
                     effects += self.council.change_voters(now, voters)
         if self.council.voters != self.reported_voters:
             self.reported_voters = self.council.voters
@@ -156,13 +156,13 @@
 
     def follow(self, now: float) -> Plan:
         """The plan in force, or the safe one."""
-        found = self.council.in_force(now)
-        if found is not None:
-            return found
+        decided = self.council.in_force(now)
+        if decided is not None:
+            return decided
         # Once for what is known: each inference asks, also when nobody tells a plan.
-        if self._safe is None:
-            self._safe = fallback_plan(self.topology, self.states)
-        return self._safe
+        if self._fallback is None:
+            self._fallback = fallback_plan(self.topology, self.states)
+        return self._fallback
 
     def take_events(self) -> list[FailoverEvent]:
         events, self.events = self.events, []
--- a/sprucespool/failover/plan.py
+++ b/sprucespool/failover/plan.py
@@ -31,16 +31,16 @@
 
 def rounded(shares: Mapping[str, Mapping[str, float]], steps: int = 1000) -> Shares:
     """To whole steps, so that equal inputs make equal plans on any machine; never above 1 in sum."""
-    found: Shares = {}
+    result: Shares = {}
     for zone in sorted(shares):
-        row = {to: int(part * steps + 0.5) for to, part in sorted(shares[zone].items())}
-        over = sum(row.values()) - steps
-        while over > 0:
-            most = max(row, key=lambda to: (row[to], to))
-            row[most] -= 1
-            over -= 1
-        found[zone] = {to: part / steps for to, part in row.items() if part}
-    return found
+        row = {to: int(share * steps + 0.5) for to, share in sorted(shares[zone].items())}
+        excess = sum(row.values()) - steps
+        while excess > 0:
+            largest = max(row, key=lambda to: (row[to], to))
+            row[largest] -= 1
+            excess -= 1
+        result[zone] = {to: share / steps for to, share in row.items() if share}
+    return result
 
 
 def home_plan(zones: Iterable[str], reason: str = "all near") -> Plan:
@@ -61,15 +61,15 @@
 def plan_errors(plan: Plan, topology: Topology) -> list[str]:
     """What is wrong with a plan that somebody tells: parts out of bounds, sums above 1, `bound` leaving its region,
     zones that nobody knows. An empty list: it can be followed."""
-    wrong = []
+    errors = []
     for name, shares in (("free", plan.free), ("bound", plan.bound)):
         for zone, row in shares.items():
-            if any(not 0 <= part <= 1 for part in row.values()) or sum(row.values()) > 1 + 1e-6:
-                wrong.append(f"{name} {zone}: parts from 0 to 1 and a sum of 1 at the most were expected")
-            wrong += [f"{name} {zone}: no zone {to!r} is known" for to in (zone, *row) if to not in topology.regions]
+            if any(not 0 <= share <= 1 for share in row.values()) or sum(row.values()) > 1 + 1e-6:
+                errors.append(f"{name} {zone}: parts from 0 to 1 and a sum of 1 at the most were expected")
+            errors += [f"{name} {zone}: no zone {to!r} is known" for to in (zone, *row) if to not in topology.regions]
             if name == "bound":
-                wrong += [
+                errors += [
                     f"bound {zone}: {to} lies in another region" for to in row if not topology.same_region(zone, to)
                 ]
-    wrong += [f"cap {zone}: expected 0 or more" for zone, cap in plan.caps.items() if not 0 <= cap < 1e12]
-    return wrong
+    errors += [f"cap {zone}: expected 0 or more" for zone, cap in plan.caps.items() if not 0 <= cap < 1e12]
+    return errors
--- a/sprucespool/failover/planner.py
+++ b/sprucespool/failover/planner.py
@@ -38,17 +38,17 @@
     own_most: float = 0.85
     far_most: float = 0.85
     # Others' traffic is spread so far first, and further only when all that it may go to is filled so far.
-    levels: tuple[float, ...] = (0.7, 0.78)
+    fill_levels: tuple[float, ...] = (0.7, 0.78)
     # A change is worth making when so much of some zone's traffic goes elsewhere by it.
-    worth: float = 0.05
+    min_change: float = 0.05
     # Going back: at most this part of the recovered zone's warm capacity a step, no sooner than that after the last.
-    back_step: float = 0.25
-    back_every: float = 3_000.0
-    settle: float = 3_000.0
+    return_step: float = 0.25
+    return_interval: float = 3_000.0
+    settle_time: float = 3_000.0
     # Changes in a bucket that fills one each `refill`; so many are kept for what is urgent.
-    bucket: int = 8
-    refill: float = 3_750.0
-    kept: int = 2
+    max_tokens: int = 8
+    token_interval: float = 3_750.0
+    reserved_tokens: int = 2
 
 
 @dataclass(slots=True, eq=False)
@@ -58,7 +58,7 @@
     topology: Topology
     limits: PlannerLimits = field(default_factory=PlannerLimits)
     tokens: float = math.inf
-    filled_at: float = 0.0
+    refilled_at: float = 0.0
     changed_at: float = -1e18
     changes: int = 0
     # Zones that operators want empty.
@@ -69,18 +69,20 @@
         fill it to `own_most`; others' only to `far_most` of what is warm, so that one more loss finds room."""
         limits = self.limits
         own: dict[str, tuple[float, float]] = {}
-        left: dict[str, Demand] = {}
+        remaining: dict[str, Demand] = {}
         room: dict[str, float] = {}
         for zone in self.topology.zones:
             state = states.get(zone, ZoneState(zone, 0.0, 0.0))
-            open_to = 0.0 if zone in self.drained else state.now * state.trust
-            takes = open_to * limits.own_most
-            bound = min(state.bound, takes)
-            free = min(state.free, takes - bound)
+            usable = 0.0 if zone in self.drained else state.now * state.trust
+            own_limit = usable * limits.own_most
+            bound = min(state.bound, own_limit)
+            free = min(state.free, own_limit - bound)
             own[zone] = free, bound
-            left[zone] = Demand(state.free - free, state.bound - bound)
-            room[zone] = max(0.0, open_to * limits.far_most - free - bound)
-        far = self._place(left, dict(room), {zone: states[zone].now * states[zone].trust for zone in states})
+            remaining[zone] = Demand(state.free - free, state.bound - bound)
+            room[zone] = max(0.0, usable * limits.far_most - free - bound)
+        far = self._place_by_levels(
+            remaining, dict(room), {zone: states[zone].now * states[zone].trust for zone in states}
+        )
         frees: Shares = {}
         bounds: Shares = {}
         for zone in self.topology.zones:
@@ -90,122 +92,132 @@
         caps = {zone: round(own[zone][0] + own[zone][1] + room[zone], 3) for zone in self.topology.zones}
         return rounded(frees), rounded(bounds), caps, far.shed
 
-    def _place(self, left: dict[str, Demand], room: dict[str, float], takes: Mapping[str, float]) -> Placement:
+    def _place_by_levels(
+        self, remaining: dict[str, Demand], room: dict[str, float], capacity: Mapping[str, float]
+    ) -> Placement:
         """Level by level: a zone is filled to the brim only when all others are filled well, or what bursts there has
         no room while others idle. Within a level the least cost counts. Never less in all than in one go."""
-        whole = place(left, room, self.topology)
-        held = {zone: takes.get(zone, 0.0) * self.limits.far_most - room[zone] for zone in room}
+        single_pass = place(remaining, room, self.topology)
+        load = {zone: capacity.get(zone, 0.0) * self.limits.far_most - room[zone] for zone in room}
         free: dict[tuple[str, str], float] = {}
         bound: dict[tuple[str, str], float] = {}
-        for level in (*self.limits.levels, self.limits.far_most):
-            open_to = {zone: min(room[zone], max(0.0, takes.get(zone, 0.0) * level - held[zone])) for zone in room}
-            found = place(left, open_to, self.topology)
-            for all_of, some in ((free, found.free), (bound, found.bound)):
-                for way, amount in some.items():
-                    all_of[way] = all_of.get(way, 0.0) + amount
-                    room[way[1]] -= amount
-                    held[way[1]] += amount
-            left = {
+        for level in (*self.limits.fill_levels, self.limits.far_most):
+            usable = {zone: min(room[zone], max(0.0, capacity.get(zone, 0.0) * level - load[zone])) for zone in room}
+            result = place(remaining, usable, self.topology)
+            for total, placed in ((free, result.free), (bound, result.bound)):
+                for pair, amount in placed.items():
+                    total[pair] = total.get(pair, 0.0) + amount
+                    room[pair[1]] -= amount
+                    load[pair[1]] += amount
+            remaining = {
                 zone: Demand(
-                    asked.free - sum(amount for (one, _), amount in found.free.items() if one == zone),
-                    asked.bound - sum(amount for (one, _), amount in found.bound.items() if one == zone),
+                    demand.free - sum(amount for (one, _), amount in result.free.items() if one == zone),
+                    demand.bound - sum(amount for (one, _), amount in result.bound.items() if one == zone),
                 )
-                for zone, asked in left.items()
+                for zone, demand in remaining.items()
             }
-        levelled = Placement(free, bound, found.shed)
-        return levelled if sum(found.shed.values()) <= sum(whole.shed.values()) + 1e-6 else whole
+        levelled = Placement(free, bound, result.shed)
+        return levelled if sum(result.shed.values()) <= sum(single_pass.shed.values()) + 1e-6 else single_pass
 
     def next(self, now: float, states: Mapping[str, ZoneState], plan: Plan) -> Plan | None:
         """`plan` is the one in force; what comes back has its epoch, to be numbered by whoever decides."""
-        self._fill(now)
+        self._refill_tokens(now)
         free, bound, caps, shed = self.target(states)
-        over = self._over(states, plan)
-        wanted = self._stepped(now, states, plan, free, over), self._stepped(now, states, plan, bound, over, True)
-        moved = max(distance(wanted[0], plan.free), distance(wanted[1], plan.bound))
-        drains = tuple(sorted(self.drained)) != plan.drained
-        if moved < self.limits.worth and not drains and not (over and moved > 1e-3):
+        overloaded = self._overloaded(states, plan)
+        target = (
+            self._limit_steps(now, states, plan, free, overloaded),
+            self._limit_steps(now, states, plan, bound, overloaded, True),
+        )
+        change = max(distance(target[0], plan.free), distance(target[1], plan.bound))
+        drains_changed = tuple(sorted(self.drained)) != plan.drained
+        if change < self.limits.min_change and not drains_changed and not (overloaded and change > 1e-3):
             return None
         # Shedding what there is room for again is as bad as too much in one place.
-        less = _missing(states, plan.free, plan.bound) - _missing(states, *wanted)
-        urgent = bool(over) or drains or less > self.limits.worth
-        if not urgent and now - self.changed_at < self.limits.settle:
+        less_shed = _shed_share(states, plan.free, plan.bound) - _shed_share(states, *target)
+        urgent = bool(overloaded) or drains_changed or less_shed > self.limits.min_change
+        if not urgent and now - self.changed_at < self.limits.settle_time:
             return None
-        if self.tokens < 1.0 or not urgent and self.tokens < 1.0 + self.limits.kept:
+        if self.tokens < 1.0 or not urgent and self.tokens < 1.0 + self.limits.reserved_tokens:
             return None
         self.tokens -= 1.0
         self.changed_at = now
         self.changes += 1
-        reason = self._reason(states, plan, over, shed, drains)
+        reason = self._reason(states, plan, overloaded, shed, drains_changed)
         return replace(
-            plan, free=wanted[0], bound=wanted[1], caps=caps, reason=reason, drained=tuple(sorted(self.drained))
+            plan, free=target[0], bound=target[1], caps=caps, reason=reason, drained=tuple(sorted(self.drained))
         )
 
-    def _fill(self, now: float):
-        gained = max(0.0, now - self.filled_at) / self.limits.refill
-        self.filled_at = max(self.filled_at, now)
-        self.tokens = min(float(self.limits.bucket), self.tokens + gained)
+    def _refill_tokens(self, now: float):
+        gained = max(0.0, now - self.refilled_at) / self.limits.token_interval
+        self.refilled_at = max(self.refilled_at, now)
+        self.tokens = min(float(self.limits.max_tokens), self.tokens + gained)
 
-    def _over(self, states: Mapping[str, ZoneState], plan: Plan) -> list[str]:
+    def _overloaded(self, states: Mapping[str, ZoneState], plan: Plan) -> list[str]:
         """Zones that get more by the plan in force than they can take now."""
         load = {**dict.fromkeys(self.topology.zones, 0.0), **zone_loads(states, plan)}
-        takes = {zone: state.now * state.trust for zone, state in states.items() if zone not in self.drained}
-        return [zone for zone in self.topology.zones if load[zone] > 1e-6 and load[zone] > takes.get(zone, 0.0)]
+        capacity = {zone: state.now * state.trust for zone, state in states.items() if zone not in self.drained}
+        return [zone for zone in self.topology.zones if load[zone] > 1e-6 and load[zone] > capacity.get(zone, 0.0)]
 
-    def _stepped(
+    def _limit_steps(
         self,
         now: float,
         states: Mapping[str, ZoneState],
         plan: Plan,
-        wanted: Shares,
-        over: list[str],
+        target: Shares,
+        overloaded: list[str],
         bound: bool = False,
     ) -> Shares:
         """What leaves a zone that is over its capacity leaves at once; what goes back home goes in steps."""
-        held = plan.bound if bound else plan.free
-        found: Shares = {}
-        for zone in wanted:
-            row, before = dict(wanted[zone]), held.get(zone, {})
+        current = plan.bound if bound else plan.free
+        result: Shares = {}
+        for zone in target:
+            row, before = dict(target[zone]), current.get(zone, {})
             gain = row.get(zone, 0.0) - before.get(zone, 0.0)
             state = states.get(zone)
             if gain > 1e-9 and before and state is not None:
-                asked = state.bound if bound else state.free
-                early = now - self.changed_at < self.limits.back_every
-                step = 0.0 if early else self.limits.back_step * state.now / max(asked, 1e-9)
+                demand = state.bound if bound else state.free
+                too_early = now - self.changed_at < self.limits.return_interval
+                step = 0.0 if too_early else self.limits.return_step * state.now / max(demand, 1e-9)
                 # What was shed here comes from nowhere else: nothing of it is cold.
                 step += max(0.0, 1.0 - sum(before.values()))
-                if step < gain and not any(to in over for to in before if to != zone):
+                if step < gain and not any(to in overloaded for to in before if to != zone):
                     # The rest stays where it is, as far as the wish leaves it there.
                     row[zone] = before.get(zone, 0.0) + step
-                    rest = 1.0 - row[zone] - sum(part for to, part in row.items() if to != zone)
-                    for to, part in sorted(before.items(), key=lambda item: -item[1]):
-                        more = min(rest, max(0.0, part - row.get(to, 0.0))) if to != zone else 0.0
-                        if more > 0:
-                            row[to] = row.get(to, 0.0) + more
-                            rest -= more
-            found[zone] = row
-        return rounded(found)
+                    remainder = 1.0 - row[zone] - sum(share for to, share in row.items() if to != zone)
+                    for to, share in sorted(before.items(), key=lambda item: -item[1]):
+                        extra = min(remainder, max(0.0, share - row.get(to, 0.0))) if to != zone else 0.0
+                        if extra > 0:
+                            row[to] = row.get(to, 0.0) + extra
+                            remainder -= extra
+            result[zone] = row
+        return rounded(result)
 
     def _reason(
-        self, states: Mapping[str, ZoneState], plan: Plan, over: list[str], shed: Mapping[str, float], drains: bool
+        self,
+        states: Mapping[str, ZoneState],
+        plan: Plan,
+        overloaded: list[str],
+        shed: Mapping[str, float],
+        drains_changed: bool,
     ) -> str:
         parts = []
-        if drains:
+        if drains_changed:
             parts.append(f"drained: {', '.join(sorted(self.drained)) or 'none'}")
-        if over:
-            parts.append(f"over their capacity: {', '.join(over)}")
+        if overloaded:
+            parts.append(f"over their capacity: {', '.join(overloaded)}")
         if shed:
             parts.append("no room for " + ", ".join(f"{amount:.1f} of {zone}" for zone, amount in sorted(shed.items())))
         return "; ".join(parts) or "nearer, or safer, by a step"
 
 
-def _missing(states: Mapping[str, ZoneState], free: Shares, bound: Shares) -> float:
+def _shed_share(states: Mapping[str, ZoneState], free: Shares, bound: Shares) -> float:
     """The part of all that is asked that goes nowhere."""
-    asked = shed = 0.0
+    demand = shed = 0.0
     for zone, state in states.items():
         for amount, shares in ((state.free, free), (state.bound, bound)):
-            asked += amount
+            demand += amount
             shed += amount * max(0.0, 1.0 - sum(shares.get(zone, {zone: 1.0}).values()))
-    return shed / asked if asked > 0 else 0.0
+    return shed / demand if demand > 0 else 0.0
 
 
 def zone_loads(states: Mapping[str, ZoneState], plan: Plan) -> dict[str, float]:
@@ -213,22 +225,24 @@
     load = dict.fromkeys(states, 0.0)
     for zone, state in states.items():
         for amount, shares in ((state.free, plan.free), (state.bound, plan.bound)):
-            for to, part in shares.get(zone, {}).items():
-                load[to] = load.get(to, 0.0) + amount * part
+            for to, share in shares.get(zone, {}).items():
+                load[to] = load.get(to, 0.0) + amount * share
     return load
 
 
-def _row(zone: str, own: float, asked: float, far: Mapping[tuple[str, str], float]) -> dict[str, float]:
-    if asked <= 1e-9:
+def _row(zone: str, own: float, demand: float, far: Mapping[tuple[str, str], float]) -> dict[str, float]:
+    if demand <= 1e-9:
         return {zone: 1.0}
-    row = {zone: own / asked} if own > 0 else {}
+    row = {zone: own / demand} if own > 0 else {}
     for (source, to), amount in far.items():
         if source == zone:
-            row[to] = row.get(to, 0.0) + amount / asked
+            row[to] = row.get(to, 0.0) + amount / demand
     return row
 
 
-def fallback_plan(topology: Topology, states: Mapping[str, ZoneState], most: float = 0.85, part: float = 0.5) -> Plan:
+def fallback_plan(
+    topology: Topology, states: Mapping[str, ZoneState], max_fill: float = 0.85, share: float = 0.5
+) -> Plan:
     """What one that cannot know the rest goes by: near; of what does not fit there as much to the other zones of the
     region as `part` of the room that is seen in them, since whoever is not seen may want the same room; no zone is
     emptied on its account, and nothing goes beyond the region. What is left is shed."""
@@ -236,18 +250,18 @@
     free: Shares = {}
     for zone in topology.zones:
         state = states.get(zone)
-        asked = 0.0 if state is None else state.free + state.bound
-        if state is None or asked <= 0.0 or asked <= state.now:
+        demand = 0.0 if state is None else state.free + state.bound
+        if state is None or demand <= 0.0 or demand <= state.now:
             free[zone] = {zone: 1.0}
             continue
         room = {
-            to: max(0.0, states[to].now * most - states[to].free - states[to].bound)
+            to: max(0.0, states[to].now * max_fill - states[to].free - states[to].bound)
             for to in topology.zones
             if to != zone and to in states and topology.same_region(zone, to)
         }
-        spill = min(asked - state.now, part * sum(room.values()))
-        row = {to: spill / asked * there / sum(room.values()) for to, there in room.items() if there > 0}
+        spill = min(demand - state.now, share * sum(room.values()))
+        row = {to: spill / demand * zone_room / sum(room.values()) for to, zone_room in room.items() if zone_room > 0}
         # A zone with nothing left keeps nothing; one that has too little keeps all that goes nowhere else.
-        free[zone] = {**({zone: 1.0 - spill / asked} if state.now > 0 else {}), **row}
+        free[zone] = {**({zone: 1.0 - spill / demand} if state.now > 0 else {}), **row}
     shares = rounded(free)
     return replace(plan, free=shares, bound={zone: dict(row) for zone, row in shares.items()})
--- a/sprucespool/failover/solver.py
+++ b/sprucespool/failover/solver.py
@@ -12,7 +12,7 @@
 
 from sprucespool.failover.topology import Topology
 
-LEAST = 1e-9
+EPSILON = 1e-9
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,12 +32,12 @@
     shed: dict[str, float]
 
 
-def place(asked: Mapping[str, Demand], caps: Mapping[str, float], topology: Topology) -> Placement:
+def place(demand: Mapping[str, Demand], caps: Mapping[str, float], topology: Topology) -> Placement:
     """`caps` by zone of invokers; no figure may be negative."""
     kinds = ("bound", "free")
-    sources = [(zone, kind) for zone in sorted(asked) for kind in kinds if _amount(asked[zone], kind) > LEAST]
-    left = {source: _amount(asked[source[0]], source[1]) for source in sources}
-    room = {zone: caps[zone] for zone in sorted(caps) if caps[zone] > LEAST}
+    sources = [(zone, kind) for zone in sorted(demand) for kind in kinds if _amount(demand[zone], kind) > EPSILON]
+    remaining = {source: _amount(demand[source[0]], source[1]) for source in sources}
+    room = {zone: caps[zone] for zone in sorted(caps) if caps[zone] > EPSILON}
     costs = {
         (source, zone): topology.cost(source[0], zone)
         for source in sources
@@ -46,29 +46,29 @@
     }
     flow: dict[tuple[tuple[str, str], str], float] = {}
     while True:
-        found = _path(left, room, costs, flow)
+        found = _path(remaining, room, costs, flow)
         if found is None:
             break
-        path, most = found
+        path, increase = found
         for source, zone, forward in path:
-            amount = flow.get((source, zone), 0.0) + (most if forward else -most)
-            if amount > LEAST:
+            amount = flow.get((source, zone), 0.0) + (increase if forward else -increase)
+            if amount > EPSILON:
                 flow[source, zone] = amount
             else:
                 flow.pop((source, zone), None)
-        left[path[0][0]] -= most
-        room[path[-1][1]] -= most
+        remaining[path[0][0]] -= increase
+        room[path[-1][1]] -= increase
     free = {(source[0], zone): amount for (source, zone), amount in flow.items() if source[1] == "free"}
     bound = {(source[0], zone): amount for (source, zone), amount in flow.items() if source[1] == "bound"}
     shed: dict[str, float] = {}
-    for source, amount in left.items():
+    for source, amount in remaining.items():
         if amount > 1e-6:
             shed[source[0]] = shed.get(source[0], 0.0) + amount
     return Placement(free, bound, shed)
 
 
-def _amount(asked: Demand, kind: str) -> float:
-    return asked.bound if kind == "bound" else asked.free
+def _amount(demand: Demand, kind: str) -> float:
+    return demand.bound if kind == "bound" else demand.free
 
 
 Source = tuple[str, str]
@@ -77,7 +77,7 @@
 
 
 def _path(
-    left: dict[Source, float],
+    remaining: dict[Source, float],
     room: dict[str, float],
     costs: dict[tuple[Source, str], float],
     flow: dict[tuple[Source, str], float],
@@ -85,29 +85,31 @@
     """The cheapest way on which more can be placed, and how much: from a source with something left, over zones that
     give some of theirs to another, to a zone with room. Bellman-Ford, as residual costs may be negative."""
     at_source: dict[Source, tuple[float, list[Step]]] = {
-        source: (0.0, []) for source, amount in left.items() if amount > LEAST
+        source: (0.0, []) for source, amount in remaining.items() if amount > EPSILON
     }
     at_zone: dict[str, tuple[float, list[Step]]] = {}
-    for _ in range(2 * (len(left) + len(room))):
+    for _ in range(2 * (len(remaining) + len(room))):
         changed = False
         for (source, zone), cost in costs.items():
             if source in at_source:
-                so_far, way = at_source[source]
-                if zone not in at_zone or so_far + cost < at_zone[zone][0] - LEAST:
-                    at_zone[zone] = so_far + cost, [*way, (source, zone, True)]
+                cost_so_far, path = at_source[source]
+                if zone not in at_zone or cost_so_far + cost < at_zone[zone][0] - EPSILON:
+                    at_zone[zone] = cost_so_far + cost, [*path, (source, zone, True)]
                     changed = True
         for source, zone in flow:
             if zone in at_zone:
-                so_far, way = at_zone[zone]
-                back = so_far - costs[source, zone]
-                if source not in at_source or back < at_source[source][0] - LEAST:
-                    at_source[source] = back, [*way, (source, zone, False)]
+                cost_so_far, path = at_zone[zone]
+                reverse_cost = cost_so_far - costs[source, zone]
+                if source not in at_source or reverse_cost < at_source[source][0] - EPSILON:
+                    at_source[source] = reverse_cost, [*path, (source, zone, False)]
                     changed = True
         if not changed:
             break
-    ends = [(cost, zone, way) for zone, (cost, way) in at_zone.items() if room[zone] > LEAST]
-    if not ends:
+    candidates = [(cost, zone, path) for zone, (cost, path) in at_zone.items() if room[zone] > EPSILON]
+    if not candidates:
         return None
-    _, zone, way = min(ends, key=lambda end: (end[0], end[1]))
-    most = min([left[way[0][0]], room[zone], *(flow[source, via] for source, via, forward in way if not forward)])
-    return way, most
+    _, zone, path = min(candidates, key=lambda candidate: (candidate[0], candidate[1]))
+    increase = min(
+        [remaining[path[0][0]], room[zone], *(flow[source, via] for source, via, forward in path if not forward)]
+    )
+    return path, increase
--- a/sprucespool/failover/spread.py
+++ b/sprucespool/failover/spread.py
@@ -28,23 +28,23 @@
     """`every`: ms between renewals told to all; a new plan is told at once."""
 
     seed: int = 1
-    every: float = 2_000.0
+    interval: float = 2_000.0
     epoch: tuple[int, int] = (0, 0)
-    told_at: float = -math.inf
-    drawn: int = 0
+    sent_at: float = -math.inf
+    draws: int = 0
 
     def distribute(self, now: float, renewal: Renewal | None, others: Sequence[str]) -> list[RenewalDelivery]:
         """At who leads, as often as it likes."""
-        if renewal is None or renewal.plan.epoch == self.epoch and now - self.told_at < self.every:
+        if renewal is None or renewal.plan.epoch == self.epoch and now - self.sent_at < self.interval:
             return []
-        self.epoch, self.told_at = renewal.plan.epoch, now
+        self.epoch, self.sent_at = renewal.plan.epoch, now
         addresses = sorted(others)
-        for place in range(len(addresses) - 1, 0, -1):
-            self.drawn += 1
-            other = zlib.crc32(b"%d:%d" % (self.seed, self.drawn)) % (place + 1)
-            addresses[place], addresses[other] = addresses[other], addresses[place]
-        heads = math.ceil(math.sqrt(len(addresses)))
-        return [RenewalDelivery(addresses[n], renewal, tuple(addresses[heads + n :: heads])) for n in range(heads)]
+        for index in range(len(addresses) - 1, 0, -1):
+            self.draws += 1
+            other = zlib.crc32(b"%d:%d" % (self.seed, self.draws)) % (index + 1)
+            addresses[index], addresses[other] = addresses[other], addresses[index]
+        relays = math.ceil(math.sqrt(len(addresses)))
+        return [RenewalDelivery(addresses[n], renewal, tuple(addresses[relays + n :: relays])) for n in range(relays)]
 
     @staticmethod
     def relay(renewal: Renewal, pass_on: Sequence[str]) -> list[RenewalDelivery]:
--- a/sprucespool/failover/steer.py
+++ b/sprucespool/failover/steer.py
@@ -20,23 +20,23 @@
     """Times in ms."""
 
     # So many forwards in a row without an answer, over so long at least: the zone is left.
-    bad: int = 6
-    bad_for: float = 150.0
-    first_trial: float = 500.0
-    last_trial: float = 4_000.0
+    max_failures: int = 6
+    min_failure_time: float = 150.0
+    initial_trial_interval: float = 500.0
+    max_trial_interval: float = 4_000.0
     # Over so many inferences their values are weighed.
     memory: float = 200.0
 
 
 @dataclass(slots=True)
-class _Seen:
+class _Observation:
     """Own evidence of a zone."""
 
-    bad: int = 0
-    since: float = 0.0
-    out: bool = False
+    failures: int = 0
+    first_failure_at: float = 0.0
+    excluded: bool = False
     trial_at: float = 0.0
-    gap: float = 0.0
+    trial_interval: float = 0.0
 
 
 @dataclass(slots=True)
@@ -45,28 +45,28 @@
 
     memory: float = 200.0
     weights: dict[float, float] = field(default_factory=dict)
-    debt: float = 0.0
+    deficit: float = 0.0
 
-    def sheds(self, value: float, missing: float) -> bool:
+    def sheds(self, value: float, shed_share: float) -> bool:
         """Whether this one is to be shed so that the part `missing` of all is."""
-        keep = 1.0 - 1.0 / self.memory
+        decay = 1.0 - 1.0 / self.memory
         for other in list(self.weights):
-            self.weights[other] *= keep
+            self.weights[other] *= decay
             if self.weights[other] < 1e-3:
                 del self.weights[other]
         self.weights[value] = self.weights.get(value, 0.0) + 1.0
-        if missing <= 0.0:
-            self.debt = 0.0
+        if shed_share <= 0.0:
+            self.deficit = 0.0
             return False
         total = sum(self.weights.values())
-        under = sum(weight for other, weight in self.weights.items() if other < value)
+        lower_weight = sum(weight for other, weight in self.weights.items() if other < value)
         # What is left to shed when all of less value is, as a part of those of this value.
-        part = min(1.0, max(0.0, missing * total - under) / self.weights[value])
-        if part >= 1.0:
+        share = min(1.0, max(0.0, shed_share * total - lower_weight) / self.weights[value])
+        if share >= 1.0:
             return True
-        self.debt += part
-        if self.debt >= 1.0:
-            self.debt -= 1.0
+        self.deficit += share
+        if self.deficit >= 1.0:
+            self.deficit -= 1.0
             return True
         return False
 
@@ -79,42 +79,48 @@
     topology: Topology
     limits: SteerLimits = field(default_factory=SteerLimits)
     serving_zones: frozenset[str] | None = None
-    seen: dict[str, _Seen] = field(default_factory=dict)
-    _debts: dict[bool, dict[str, float]] = field(default_factory=lambda: {False: {}, True: {}})
-    _sifters: dict[bool, ValueShedder] = field(default_factory=dict)
+    observations: dict[str, _Observation] = field(default_factory=dict)
+    _deficits: dict[bool, dict[str, float]] = field(default_factory=lambda: {False: {}, True: {}})
+    _shedders: dict[bool, ValueShedder] = field(default_factory=dict)
 
     def __post_init__(self):
-        self._sifters = {bound: ValueShedder(self.limits.memory) for bound in (False, True)}
+        self._shedders = {bound: ValueShedder(self.limits.memory) for bound in (False, True)}
 
     # Own eyes
 
     def ended(self, now: float, zone: str, answered: bool) -> None:
         """A forward to that zone ended; `answered`: the invoker said something of its own."""
-        seen = self.seen.setdefault(zone, _Seen())
+        observation = self.observations.setdefault(zone, _Observation())
         if answered:
-            seen.bad, seen.out, seen.gap = 0, False, 0.0
+            observation.failures, observation.excluded, observation.trial_interval = 0, False, 0.0
             return
-        if not seen.bad:
-            seen.since = now
-        seen.bad += 1
-        if not seen.out and seen.bad >= self.limits.bad and now - seen.since >= self.limits.bad_for:
-            seen.out, seen.gap = True, self.limits.first_trial
-            seen.trial_at = now + seen.gap
+        if not observation.failures:
+            observation.first_failure_at = now
+        observation.failures += 1
+        if (
+            not observation.excluded
+            and observation.failures >= self.limits.max_failures
+            and now - observation.first_failure_at >= self.limits.min_failure_time
+        ):
+            observation.excluded, observation.trial_interval = True, self.limits.initial_trial_interval
+            observation.trial_at = now + observation.trial_interval
 
     def open(self, zone: str) -> bool:
         """Whether anything is sent there but trials."""
-        seen = self.seen.get(zone)
-        return (seen is None or not seen.out) and (self.serving_zones is None or zone in self.serving_zones)
+        observation = self.observations.get(zone)
+        return (observation is None or not observation.excluded) and (
+            self.serving_zones is None or zone in self.serving_zones
+        )
 
     # Choosing
 
     def zones(self, now: float, plan: Plan, bound: bool, value: float) -> tuple[str, ...]:
         """The zones that this inference may go to, the first of them first; none: shed it."""
         row = (plan.bound if bound else plan.free).get(self.zone, {self.zone: 1.0})
-        if self._sifters[bound].sheds(value, 1.0 - sum(row.values())):
+        if self._shedders[bound].sheds(value, 1.0 - sum(row.values())):
             return ()
         trial = self._trial(now, row)
-        first = trial or self._draw(bound, self._weights(row, bound))
+        first = trial or self._next_zone(bound, self._weights(row, bound))
         if first is None:
             return ()
         others = sorted(
@@ -132,38 +138,38 @@
 
     def _weights(self, row: Mapping[str, float], bound: bool) -> dict[str, float]:
         """The plan's parts among zones that are open here; if none is, the nearest that are, in equal parts."""
-        weights = {zone: part for zone, part in row.items() if part > 0 and self.open(zone)}
+        weights = {zone: share for zone, share in row.items() if share > 0 and self.open(zone)}
         if weights:
             return weights
-        left = [zone for zone in self._reachable(bound) if self.open(zone)]
-        near = min((self.topology.cost(self.zone, zone) for zone in left), default=math.inf)
-        nearest = [zone for zone in left if self.topology.cost(self.zone, zone) <= near + 1e-9]
+        open_zones = [zone for zone in self._reachable(bound) if self.open(zone)]
+        lowest_cost = min((self.topology.cost(self.zone, zone) for zone in open_zones), default=math.inf)
+        nearest = [zone for zone in open_zones if self.topology.cost(self.zone, zone) <= lowest_cost + 1e-9]
         # All are out in own eyes: as likely this controller is cut off; the plan is the best word there is.
-        return dict.fromkeys(nearest, 1.0) or {zone: part for zone, part in row.items() if part > 0}
+        return dict.fromkeys(nearest, 1.0) or {zone: share for zone, share in row.items() if share > 0}
 
-    def _draw(self, bound: bool, weights: Mapping[str, float]) -> str | None:
+    def _next_zone(self, bound: bool, weights: Mapping[str, float]) -> str | None:
         """Whoever is owed most after each got its part: no chance, so that no run of luck fills a zone."""
         total = sum(weights.values())
         if not total:
             return None
-        before = self._debts[bound]
-        debts = {zone: before.get(zone, 0.0) + part / total for zone, part in weights.items()}
-        first = max(debts, key=lambda zone: (debts[zone], zone == self.zone, zone))
-        debts[first] -= 1.0
-        self._debts[bound] = debts
+        before = self._deficits[bound]
+        deficits = {zone: before.get(zone, 0.0) + share / total for zone, share in weights.items()}
+        first = max(deficits, key=lambda zone: (deficits[zone], zone == self.zone, zone))
+        deficits[first] -= 1.0
+        self._deficits[bound] = deficits
         return first
 
     def _trial(self, now: float, row: Mapping[str, float]) -> str | None:
-        for zone, part in row.items():
-            seen = self.seen.get(zone)
+        for zone, share in row.items():
+            observation = self.observations.get(zone)
             if (
-                part > 0
-                and seen is not None
-                and seen.out
-                and now >= seen.trial_at
+                share > 0
+                and observation is not None
+                and observation.excluded
+                and now >= observation.trial_at
                 and (self.serving_zones is None or zone in self.serving_zones)
             ):
-                seen.gap = min(2 * seen.gap, self.limits.last_trial)
-                seen.trial_at = now + seen.gap
+                observation.trial_interval = min(2 * observation.trial_interval, self.limits.max_trial_interval)
+                observation.trial_at = now + observation.trial_interval
                 return zone
         return None
--- a/sprucespool/failover/topology.py
+++ b/sprucespool/failover/topology.py
@@ -15,8 +15,8 @@
 
     regions: dict[str, str]
     costs: dict[tuple[str, str], float] = field(default_factory=dict)
-    near: float = 1.0
-    far: float = 10.0
+    same_region_cost: float = 1.0
+    other_region_cost: float = 10.0
 
     @classmethod
     def of(cls, zones: Iterable[ZonePlace], distances: Iterable[Distance]) -> Topology:
@@ -31,10 +31,12 @@
         """Nothing within a zone, and always more than that to another."""
         if one == other:
             return 0.0
-        told = self.costs.get((one, other), self.costs.get((other, one)))
-        if told is None:
-            told = self.near if self.regions.get(one) == self.regions.get(other) else self.far
-        return max(told, 1e-3)
+        known_cost = self.costs.get((one, other), self.costs.get((other, one)))
+        if known_cost is None:
+            known_cost = (
+                self.same_region_cost if self.regions.get(one) == self.regions.get(other) else self.other_region_cost
+            )
+        return max(known_cost, 1e-3)
 
     def same_region(self, one: str, other: str) -> bool:
         return one == other or self.regions.get(one, one) == self.regions.get(other, other)
--- a/sprucespool/failover/voter_selection.py
+++ b/sprucespool/failover/voter_selection.py
@@ -22,50 +22,65 @@
     voters `watch`, so that who leads next does not begin to count anew."""
 
     topology: Topology
-    size: int
+    target_size: int
     absent_after: float = 30_000.0
     change_interval: float = 500.0
-    gone_since: dict[str, float] = field(default_factory=dict)
+    absent_since: dict[str, float] = field(default_factory=dict)
     changed_at: float = -1e18
 
-    def watch(self, now: float, voters: Sequence[str], places: Mapping[str, str]) -> None:
-        self.gone_since = {name: self.gone_since.get(name, now) for name in voters if name not in places}
+    def watch(self, now: float, voters: Sequence[str], member_zones: Mapping[str, str]) -> None:
+        self.absent_since = {name: self.absent_since.get(name, now) for name in voters if name not in member_zones}
 
-    def next(self, now: float, me: str, voters: Sequence[str], places: Mapping[str, str]) -> tuple[str, ...] | None:
+    def next(
+        self, now: float, me: str, voters: Sequence[str], member_zones: Mapping[str, str]
+    ) -> tuple[str, ...] | None:
         """The set that should be next, or None to leave it. `places`: the zone of each member that is there, serves
         and speaks of plans, the own one among them."""
-        self.watch(now, voters, places)
-        lost = [name for name in voters if now - self.gone_since.get(name, now) >= self.absent_after]
+        self.watch(now, voters, member_zones)
+        long_absent = [name for name in voters if now - self.absent_since.get(name, now) >= self.absent_after]
         if now - self.changed_at < self.change_interval:
             return None
-        found: tuple[str, ...] | None = None
-        if len(voters) > self.size:
-            found = self._less(me, voters, places)
-        elif lost and len(voters) < MAX_VOTERS:
-            found = self._more(voters, places, set(lost))
-        if found is not None:
+        new_voters: tuple[str, ...] | None = None
+        if len(voters) > self.target_size:
+            new_voters = self._remove_voter(me, voters, member_zones)
+        elif long_absent and len(voters) < MAX_VOTERS:
+            new_voters = self._add_voter(voters, member_zones, set(long_absent))
+        if new_voters is not None:
             self.changed_at = now
-        return found
+        return new_voters
 
-    def _crowd(self, zone: str, others: Sequence[str], places: Mapping[str, str]) -> tuple[int, int]:
+    def _voters_nearby(self, zone: str, others: Sequence[str], member_zones: Mapping[str, str]) -> tuple[int, int]:
         """How many of the others stand in its region, and in its zone."""
-        zones = [places[name] for name in others if name in places]
+        zones = [member_zones[name] for name in others if name in member_zones]
         return sum(self.topology.same_region(zone, one) for one in zones), zones.count(zone)
 
-    def _more(self, voters: Sequence[str], places: Mapping[str, str], lost: set[str]) -> tuple[str, ...] | None:
-        stay = [name for name in voters if name not in lost]
-        able = [name for name in places if name not in voters and places[name] in self.topology.regions]
-        if not able:
+    def _add_voter(
+        self, voters: Sequence[str], member_zones: Mapping[str, str], long_absent: set[str]
+    ) -> tuple[str, ...] | None:
+        remaining = [name for name in voters if name not in long_absent]
+        candidates = [
+            name for name in member_zones if name not in voters and member_zones[name] in self.topology.regions
+        ]
+        if not candidates:
             return None
-        return (*voters, min(able, key=lambda name: (self._crowd(places[name], stay, places), name)))
+        return (
+            *voters,
+            min(candidates, key=lambda name: (self._voters_nearby(member_zones[name], remaining, member_zones), name)),
+        )
 
-    def _less(self, me: str, voters: Sequence[str], places: Mapping[str, str]) -> tuple[str, ...] | None:
+    def _remove_voter(self, me: str, voters: Sequence[str], member_zones: Mapping[str, str]) -> tuple[str, ...] | None:
         """Without one that is gone; if all are back, without one of those that stand closest together."""
-        gone = sorted((name for name in voters if name in self.gone_since), key=lambda name: self.gone_since[name])
-        if gone:
-            return tuple(name for name in voters if name != gone[0])
+        absent = sorted(
+            (name for name in voters if name in self.absent_since), key=lambda name: self.absent_since[name]
+        )
+        if absent:
+            return tuple(name for name in voters if name != absent[0])
         others = [name for name in voters if name != me]
-        out = max(
-            others, key=lambda name: (self._crowd(places[name], [one for one in voters if one != name], places), name)
+        removed = max(
+            others,
+            key=lambda name: (
+                self._voters_nearby(member_zones[name], [one for one in voters if one != name], member_zones),
+                name,
+            ),
         )
-        return tuple(name for name in voters if name != out)
+        return tuple(name for name in voters if name != removed)
--- a/sprucespool/failover/whatif.py
+++ b/sprucespool/failover/whatif.py
@@ -84,10 +84,10 @@
     broken: list[str]
 
 
-def what_if(told: WhatIf) -> list[Answer]:
-    topology = Topology.of(told.zones, told.distances)
+def what_if(question: WhatIf) -> list[Answer]:
+    topology = Topology.of(question.zones, question.distances)
     answers = []
-    for state in told.states:
+    for state in question.states:
         states = {
             one.zone: ZoneState(
                 one.zone, one.warm if one.now is None else one.now, one.warm, one.free, one.bound, one.trust
@@ -96,16 +96,18 @@
         }
         planner = Planner(
             topology,
-            PlannerLimits(own_most=told.own_most, far_most=told.far_most),
+            PlannerLimits(own_most=question.own_most, far_most=question.far_most),
             drained=frozenset(one.zone for one in state.draineds),
         )
         free, bound, caps, shed = planner.target(states)
         broken = []
-        for wish in state.expects:
-            row = (bound if wish.bound else free).get(wish.zone, {})
-            part = round(max(0.0, 1.0 - sum(row.values())), 3) if wish.shed else row.get(wish.to, 0.0)
-            if not wish.least - 1e-9 <= part <= wish.most + 1e-9:
-                route = f"{wish.zone} -> {'shed' if wish.shed else wish.to}{' (bound)' * wish.bound}"
-                broken.append(f"state {state.name!r}: {route}: expected {wish.least:g} to {wish.most:g}, got {part:g}")
+        for expected in state.expects:
+            row = (bound if expected.bound else free).get(expected.zone, {})
+            share = round(max(0.0, 1.0 - sum(row.values())), 3) if expected.shed else row.get(expected.to, 0.0)
+            if not expected.least - 1e-9 <= share <= expected.most + 1e-9:
+                route = f"{expected.zone} -> {'shed' if expected.shed else expected.to}{' (bound)' * expected.bound}"
+                broken.append(
+                    f"state {state.name!r}: {route}: expected {expected.least:g} to {expected.most:g}, got {share:g}"
+                )
         answers.append(Answer(state.name, free, bound, caps, shed, broken))
     return answers
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -154,7 +154,7 @@
     limits = PlannerLimits()
     for at in changed:
         within = sum(at - 60_000.0 < other <= at for other in changed)
-        assert within <= limits.bucket + 60_000.0 / limits.refill
+        assert within <= limits.max_tokens + 60_000.0 / limits.token_interval
 
 
 def test_a_drained_zone_is_emptied_and_told_plans_that_cannot_be_are_named():
