--- a/sprucespool/failover/__init__.py
+++ b/sprucespool/failover/__init__.py
@@ -1,7 +1,9 @@
-"""Failover between zones and regions: what goes where, decided in common. No I/O, no clock.
+"""Failover between zones and regions: the controllers agree on where each zone's traffic goes. No I/O, no clock.
 
-`Gauge` and `Meter` say what is known of the zones, `Planner` makes plans from it, `Council` has one of them in force,
-`Spread` takes it to all, `Steer` has each inference go by it. `daemon/failover.py` carries it.
+`Meter` measures a controller's own traffic and `Gauge` estimates the state of the zones from all reports. `Planner`
+makes plans from these states, `Council` (the consensus of the voters) decides which plan is in force, `Spread`
+distributes it to all controllers, and `Steer` picks the zones of each inference by it. `daemon/failover.py` connects
+this package to sockets and files.
 """
 
 from sprucespool.failover.codec import Codec, PlanMessage, PlanMessageError, decode_ballot, encode_ballot
--- a/sprucespool/failover/codec.py
+++ b/sprucespool/failover/codec.py
@@ -1,7 +1,7 @@
-"""What controllers say of plans, as bytes: msgpack, bounded, sealed with the group's name and mark; and the ballot that
-a voter keeps on disk, with its checksum.
+"""Encoding of failover messages between controllers (msgpack, bounded, sealed with the group's name and mark) and of
+the ballot that a voter stores on disk, with a checksum.
 
-What is no word of this group, or out of bounds, is refused with what was expected.
+Data that does not belong to this group or is out of bounds is refused with an error that says what was expected.
 """
 
 from __future__ import annotations
@@ -23,21 +23,21 @@
 
 
 class PlanMessageError(ValueError):
-    """Bytes that are no word of this group."""
+    """Data that is not a valid message of this group, or not a valid ballot."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlanMessage:
-    """One message: a word of the council, or the plan in force, to be told on. `epoch` is what its sender follows."""
+    """A message of the council, the plan in force, or measurements. `epoch`: of the plan that the sender follows."""
 
     sender: str
     epoch: tuple[int, int]
     council_message: CouncilMessage | None = None
     renewal: Renewal | None = None
     pass_on: tuple[str, ...] = ()
-    # To voters: what the sender's own traffic shows, where that moved.
+    # To voters: measurements of the sender's own traffic, when they changed.
     metrics: tuple[float, ...] = ()
-    # One way from the sender's zone to others, ms, as it measured them.
+    # Costs from the sender's zone to others, measured one-way times in ms.
     costs: dict[str, float] = field(default_factory=dict)
 
 
@@ -123,7 +123,7 @@
 
 def _voters_in(encoded: _WireVoterSet) -> VoterSet:
     _require_counts(*encoded.epoch)
-    # One more than ever is in office, for a while.
+    # One more than the largest set, for the time of a change.
     _require(
         len(encoded.voters) <= MAX_VOTERS + 1
         and len(set(encoded.voters)) == len(encoded.voters)
@@ -134,7 +134,7 @@
 
 
 class Codec:
-    """For one group: messages of another are refused."""
+    """Encodes and decodes the messages of one group; those of another group are refused."""
 
     def __init__(self, group: str, mark: str):
         self.key = hashlib.blake2b(f"failover\0{group}\0{mark}".encode(), digest_size=32).digest()
@@ -170,7 +170,7 @@
         return self._seal(data) + data
 
     def decode(self, data: bytes) -> PlanMessage:
-        """Raises SaidError."""
+        """Raises PlanMessageError."""
         _require(
             SEAL_BYTES < len(data) <= MAX_MESSAGE_BYTES, f"{SEAL_BYTES} to {MAX_MESSAGE_BYTES} bytes, got {len(data)}"
         )
@@ -213,13 +213,13 @@
 
 
 def encode_ballot(ballot: Ballot) -> bytes:
-    """A ballot as it stands on disk."""
+    """A ballot in its form on disk."""
     data = msgspec.json.encode([ballot.term, ballot.voted, ballot.voter_set.epoch, ballot.voter_set.voters])
     return b"%08x %s\n" % (zlib.crc32(data), data)
 
 
 def decode_ballot(data: bytes) -> Ballot:
-    """Raises SaidError on what was torn or spoilt."""
+    """Raises PlanMessageError if the data is truncated or corrupt."""
     mark, _, rest = data.partition(b" ")
     rest = rest.rstrip(b"\n")
     _require(len(mark) == 8 and mark == b"%08x" % zlib.crc32(rest), "a ballot with its checksum")
--- a/sprucespool/failover/council.py
+++ b/sprucespool/failover/council.py
@@ -1,21 +1,22 @@
-"""How a plan is decided in common: a few voters elect one who proposes; what most of them hold is in force. No I/O.
-
-Not a log: only the newest plan matters. After Raft's elections (Ongaro, Ousterhout, USENIX ATC 2014) with its pre-
-vote and leader leases; the plan is one register whose value goes by epoch (term, number). Why at most one plan has
-an epoch: a term has one leader, as a voter gives one vote a term and keeps it on disk before it says so; and a
-leader numbers its plans. Why an older plan never replaces a newer one: nobody goes to a lower epoch, and a plan is
-in force only when most voters hold it, of whom any later leader must have asked one. Nobody waits for any of this
-before answering an inference.
-
-Who has a vote stands in the files at first, and is changed one name at a time (`reseat`; Ongaro's thesis, 2014, chapter
-4): two following sets of voters have no majorities apart, the next change waits until most hold the one before, and
-nobody votes for who knows an older set. Each leader states the set anew in its own term before it changes it, so that
-what an earlier one began and most never held is outvoted.
-
-Time enters at two places only, and no safety rests on either: voters that heard a leader a moment ago elect no
-other, and whoever hears no renewal for `hold` falls back to a safe plan. Call `tick` when `due` has come and
-`heard` for each message; `propose` at the leader. Effects come back in order: `Keep` must be on disk before what
-follows it is sent.
+"""Consensus of the voters on the plan: they elect a leader, which proposes plans; a plan that a majority holds is in
+force. No I/O.
+
+There is no log, as only the newest plan matters. Elections follow Raft (Ongaro, Ousterhout, USENIX ATC 2014) with its
+pre-vote and leader leases; the plan is a single register whose value is ordered by epoch (term, number). At most one
+plan has a given epoch: a term has one leader, because a voter gives one vote per term and stores it on disk before it
+answers, and a leader numbers its plans. An older plan never replaces a newer one: no controller returns to a lower
+epoch, and a plan is in force only when a majority of the voters holds it, which includes at least one voter of any
+later leader. No inference waits for any of this.
+
+The voters are first those of the settings, and change one name at a time (`change_voters`; Ongaro's thesis, 2014,
+chapter 4): majorities of two successive sets always overlap, the next change waits until a majority holds the previous
+one, and no voter votes for a candidate with an older set. Each leader restates the set in its own term before it
+changes it, so that a change that an earlier leader began without a majority is superseded.
+
+Time matters in two places only, and safety depends on neither: voters that recently received a beat of a leader elect
+no other, and a controller without a renewal for `plan_lifetime` uses the fallback plan. Call `tick` when `due` is
+reached, `receive` for each message, and `propose` at the leader. Effects are ordered: a `StoreBallot` must be on disk
+before the messages that follow it are sent.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VoterSet:
-    """Who has a vote, as stated in an epoch; the files' set is of (0, 0)."""
+    """The voters, as stated in an epoch; the set of the settings has epoch (0, 0)."""
 
     epoch: tuple[int, int] = (0, 0)
     voters: tuple[str, ...] = ()
@@ -45,8 +46,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Ballot:
-    """What a voter must never forget: the highest term it knows, whom it gave its vote in it, who has a vote. Without
-    voters: those of the files."""
+    """What a voter must store durably: the highest term that it knows, its vote in that term, and the voters. If the
+    set of voters is empty, that of the settings counts."""
 
     term: int = 0
     voted: str = NOBODY
@@ -55,16 +56,16 @@
 
 @dataclass(frozen=True, slots=True)
 class CouncilMessage:
-    """Between voters. `may`: would you elect me in this term; `might`: yes; `vote`, `voted`: the same in earnest;
-    `beat`: I lead, this is my plan; `held`: I hold it. `number` joins a held to its beat. `seats` as the sender knows
-    them."""
+    """A message between voters. `may`: request for a pre-vote in this term; `might`: pre-vote granted; `vote`: request
+    for a vote; `voted`: vote granted; `beat`: heartbeat of the leader with its plan; `held`: acknowledges a beat.
+    `number` pairs a `held` with its `beat`. `voter_set`: as the sender knows it."""
 
     kind: Kind
     sender: str
     term: int
     number: int = 0
     plan: Plan | None = None
-    # Of a beat: the newest plan that most hold, and how often that was renewed.
+    # In a beat: the epoch of the newest plan that a majority holds, and its count of renewals.
     decided: tuple[int, int] = (0, 0)
     renewals: int = 0
     voter_set: VoterSet = VoterSet()
@@ -72,11 +73,15 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreBallot:
+    """Effect: the ballot must be on disk before any later effect is carried out."""
+
     ballot: Ballot
 
 
 @dataclass(frozen=True, slots=True)
 class SendToVoter:
+    """Effect: send `message` to the voter named `to`."""
+
     to: str
     message: CouncilMessage
 
@@ -86,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Renewal:
-    """Rides to all controllers: the plan in force and how often it was renewed; `age` of the renewal in ms."""
+    """Sent to all controllers: the plan in force, its count of renewals, and the `age` of the last one in ms."""
 
     plan: Plan
     renewals: int
@@ -103,16 +108,17 @@
     max_election_wait: float = 3_000.0
     lease: float = 1_400.0
     drift: float = 0.05
-    # Without a renewal for so long a controller goes by the safe plan.
+    # Without a renewal for this time a controller uses the fallback plan.
     plan_lifetime: float = 8_000.0
-    # A voter that lost what it kept gives no vote before, so that any term it may have voted in is over.
+    # A voter without a stored ballot gives no vote before this time, so that any term it may have voted in is over.
     lost_ballot_wait: float = 10_000.0
 
 
 @dataclass(slots=True, eq=False)
 class Council:
-    """One controller's part; `voters` are names: at first the files', then those in office. Who is not among them only
-    follows. `kept`: what was on disk, None where nothing was."""
+    """One controller's part in the consensus, as a follower, candidate or leader. `voters`: names, at first those of
+    the settings, then the current ones. A controller that is not among them only follows. `stored_ballot`: read from
+    disk, None if there was none."""
 
     name: str
     voters: tuple[str, ...]
@@ -123,7 +129,7 @@
     role: str = "follower"
     ballot: Ballot = Ballot()
     leader: str = NOBODY
-    # The newest plan held, whoever decided it; the one in force here, and its renewals.
+    # The newest plan held, decided or not; the plan in force here, and its count of renewals.
     plan: Plan | None = None
     decided: Plan | None = None
     renewals: int = 0
@@ -135,11 +141,11 @@
     number: int = 0
     draws: int = 0
     votes_received: set[str] = field(default_factory=set)
-    # At the leader: beats that are out, when each was sent, who answered.
+    # At the leader, by number of the beat: when it was sent and with which epoch; who answered it.
     beats: dict[int, tuple[float, tuple[int, int]]] = field(default_factory=dict)
     answers: dict[int, set[str]] = field(default_factory=dict)
     lease_until: float = -math.inf
-    # At the leader: the newest set of voters that most of it hold.
+    # At the leader: the epoch of the newest set of voters that a majority of it holds.
     agreed_epoch: tuple[int, int] = (-1, -1)
 
     def __post_init__(self):
@@ -148,7 +154,7 @@
             self.ballot = replace(self.ballot, voter_set=VoterSet((0, 0), self.voters))
         self.voters = self.voter_set.voters
 
-    # Reading
+    # Queries
 
     @property
     def is_voter(self) -> bool:
@@ -163,21 +169,22 @@
         return self.voter_set.majority
 
     def leads(self, now: float) -> bool:
-        """Most voters heard this leader a moment ago, by its own clock from when it spoke."""
+        """Whether the leader lease is valid: a majority answered a beat, and the lease counts from when that was
+        sent."""
         return self.role == "leader" and now < self.lease_until
 
     def in_force(self, now: float) -> Plan | None:
-        """The plan to follow, or None: then go by the safe one."""
+        """The plan to follow, or None if there is none: then use the fallback plan."""
         return self.decided if self.decided is not None and now - self.renewed_at < self.limits.plan_lifetime else None
 
     def renewal(self, now: float) -> Renewal | None:
-        """What rides to all others."""
+        """The renewal to send to all others, if a plan is in force."""
         if self.decided is None or now - self.renewed_at >= self.limits.plan_lifetime:
             return None
         return Renewal(self.decided, self.renewals, max(0.0, now - self.renewed_at), self.voter_set)
 
     def due(self) -> float:
-        # Who lost its vote has nothing to wait for: a wait of before would be due for ever.
+        # A controller that lost its vote has no timers: an old election timer would stay due forever.
         return min(self.election_at, self.beat_at) if self.is_voter else math.inf
 
     # Time
@@ -201,7 +208,7 @@
             self._reset_election_timer(now)
         if self.role == "leader":
             if now >= self.lease_until + self.limits.lease:
-                # Most have not answered for long: there may be another by now.
+                # A majority has not answered for long, so there may be another leader by now.
                 return self._step_down(now)
             return self._send_beat(now) if now >= self.beat_at else []
         if now >= self.election_at:
@@ -213,7 +220,7 @@
         return self.stored_ballot is not None or now - self.started_at >= self.limits.lost_ballot_wait
 
     def _request_pre_votes(self, now: float) -> list[Effect]:
-        """First whether others would: who is cut off raises no terms."""
+        """Pre-vote: asks first whether others would vote, so that a partitioned voter does not raise the term."""
         if not self._may_vote(now):
             return []
         self.role, self.leader, self.votes_received = "asking", NOBODY, {self.name}
@@ -235,7 +242,7 @@
         self.role, self.leader, self.number = "leader", self.name, 0
         self.beats.clear()
         self.answers.clear()
-        # Its own plan begins where the newest that it holds left off, under its own term.
+        # The leader starts with the newest plan that it holds, restated in its own term.
         plans = [one for one in (self.plan, self.decided) if one is not None]
         newest = max(plans, key=lambda one: one.epoch, default=None)
         self.plan = replace(newest, epoch=(self.ballot.term, 1)) if newest is not None else None
@@ -245,8 +252,8 @@
         return [StoreBallot(self.ballot), *self._send_beat(now)]
 
     def change_voters(self, now: float, voters: tuple[str, ...]) -> list[Effect]:
-        """At the leader: these are to have a vote, one more or one less than now. Nothing happens elsewhere, or while
-        most do not yet hold the set before."""
+        """At the leader: changes the voters to these, one more or one less than now. No effect at other controllers, or
+        while a majority does not hold the previous set yet."""
         self.now = now = max(self.now, now)
         if (
             self.role != "leader"
@@ -257,7 +264,7 @@
             return []
         term, number = self.voter_set.epoch
         self._store_ballot(replace(self.ballot, voter_set=VoterSet((term, number + 1), tuple(sorted(voters)))))
-        # Answers to what was said under the set before count no more.
+        # Answers to beats sent under the previous set no longer count.
         self.beats.clear()
         self.answers.clear()
         return [StoreBallot(self.ballot), *self._send_beat(now)]
@@ -279,7 +286,7 @@
     # The leader
 
     def propose(self, now: float, plan: Plan) -> list[Effect]:
-        """At the leader: this is to be in force. Numbered here; nothing happens elsewhere."""
+        """At the leader: proposes this plan with the next epoch. No effect at other controllers."""
         self.now = now = max(self.now, now)
         if self.role != "leader":
             return []
@@ -311,7 +318,7 @@
         return effects
 
     def _count_answers(self, number: int):
-        """Most voters answered a beat: the leader leads from when it was sent, the plan of it is in force."""
+        """Once a majority answered a beat: the lease runs from when that was sent, and its plan is in force."""
         if len(self.answers[number]) < self.majority:
             return
         sent, epoch = self.beats[number]
@@ -325,7 +332,7 @@
             self.renewals += 1
             self.renewed_at = sent
 
-    # Hearing
+    # Receiving
 
     def receive(self, now: float, message: CouncilMessage) -> list[Effect]:
         self.now = now = max(self.now, now)
@@ -349,7 +356,7 @@
                     return self._start_election(now)
             return []
         if message.term < self.ballot.term:
-            # Who speaks in an old term hears of the newer one, and steps down.
+            # A leader of an old term learns of the newer one by this, and steps down.
             return (
                 [SendToVoter(message.sender, CouncilMessage("held", self.name, self.ballot.term))]
                 if message.kind == "beat"
@@ -359,7 +366,7 @@
         if message.kind == "vote":
             return self._on_vote(now, message)
         if message.term > self.ballot.term or voter_set.epoch > self.voter_set.epoch:
-            # Who hears a leader gives nobody else its vote in that term, whatever it may have forgotten.
+            # A beat binds the vote in its term to its sender, even if an earlier vote was lost from disk.
             voted = message.sender if message.kind == "beat" else NOBODY
             raised = message.term > self.ballot.term
             self._store_ballot(Ballot(message.term, voted if raised else self.ballot.voted, voter_set))
@@ -379,7 +386,7 @@
         return effects
 
     def _no_leader_alive(self, now: float) -> bool:
-        """No leader was heard for so long that its lease is over by any clock."""
+        """Whether the last beat is so old that the lease of its leader has ended by any clock."""
         return now - self.last_beat_at >= self.limits.lease * (1 + self.limits.drift) and not self.leads(now)
 
     def _on_pre_vote(self, now: float, message: CouncilMessage) -> list[Effect]:
@@ -394,7 +401,7 @@
 
     def _on_vote(self, now: float, message: CouncilMessage) -> list[Effect]:
         if message.voter_set.epoch < self.voter_set.epoch:
-            return []  # a set of voters that it does not know may have been agreed on
+            return []  # the candidate may not know a set of voters that was agreed on
         if (
             not self._may_vote(now)
             or not self._no_leader_alive(now)
@@ -410,7 +417,7 @@
 
     def _on_beat(self, now: float, message: CouncilMessage) -> list[Effect]:
         if self.role == "leader":
-            return []  # two of one term: never, and if it were, neither yields to the other's word
+            return []  # a term never has two leaders; if it had, neither would yield to the other
         self.role, self.leader, self.last_beat_at = "follower", message.sender, now
         self._reset_election_timer(now)
         if message.plan is not None and (self.plan is None or message.plan.epoch > self.plan.epoch):
@@ -420,10 +427,11 @@
         return [SendToVoter(message.sender, CouncilMessage("held", self.name, message.term, message.number))]
 
     def learn(self, now: float, renewal: Renewal) -> bool:
-        """What rides on others' words: a plan in force. True if it was newer. Never back to an earlier epoch."""
+        """Takes over a plan in force that was received from another controller; true if it was newer or renewed. Never
+        returns to an earlier epoch."""
         self.now = now = max(self.now, now)
         if renewal.voter_set.epoch > self.voter_set.epoch and renewal.voter_set.voters:
-            # Not kept on disk: it answered nobody by it.
+            # Not stored on disk, as no answer depends on it.
             self.ballot = replace(self.ballot, voter_set=renewal.voter_set)
             self.voters = renewal.voter_set.voters
             if self.role != "follower":
--- a/sprucespool/failover/failover.py
+++ b/sprucespool/failover/failover.py
@@ -1,7 +1,9 @@
-"""One controller's part of failover: its planner where it leads, its council, the plan it goes by. No I/O, no clock.
+"""One controller's part in failover: its council, its planner while it leads, the plan that it follows. No I/O, no
+clock.
 
-Feed `know` whenever the view of the zones changed, `heard` for each word, `rode` for what rides on others' messages,
-and call `tick` when `due` has come. `follow` is what to go by at any moment: nobody waits for a decision.
+Call `update_states` when the view of the zones changed, `receive` for each council message, `receive_renewal` for each
+renewal that arrives with other messages, and `tick` when `due` is reached. `follow` gives the plan to use at any
+moment: no inference waits for a decision.
 """
 
 from __future__ import annotations
@@ -22,8 +24,8 @@
 
 @dataclass(frozen=True, slots=True)
 class FailoverEvent:
-    """`kind`: follows (a decided plan), alone (no word of any: the safe one), leads, led, refused (a told plan), seats
-    (others have a vote)."""
+    """`kind`: follows (a decided plan), alone (no decided plan: the fallback plan), leads, led (leads no more), refused
+    (a received plan), seats (the voters changed)."""
 
     kind: str
     at: float
@@ -33,7 +35,9 @@
 
 @dataclass(eq=False)
 class Failover:
-    # What shows its own traffic to the others.
+    """One controller's failover state machine. `voters`: names from the settings; `stored_ballot`: read from disk."""
+
+    # Measures the own traffic for the reports to the others.
     meter_kind: ClassVar[type[Meter]] = Meter
     name: str
     topology: Topology
@@ -42,7 +46,7 @@
     seed: int = 1
     council_limits: CouncilLimits = field(default_factory=CouncilLimits)
     planner_limits: PlannerLimits = field(default_factory=PlannerLimits)
-    # A voter that was gone for so many ms is replaced.
+    # A voter that is absent for this time in ms is replaced.
     replace_after: float = 30_000.0
     states: dict[str, ZoneState] = field(default_factory=dict)
 
@@ -58,25 +62,25 @@
         self.events: list[FailoverEvent] = []
         self._fallback: Plan | None = None
 
-    # What happens
+    # Inputs
 
     def update_states(self, now: float, states: Mapping[str, ZoneState]) -> None:
         self.now = max(self.now, now)
         self.states, self._fallback = dict(states), None
 
     def update_members(self, member_zones: Mapping[str, str]) -> None:
-        """The zone of each member that is there, serves and speaks of plans, the own one among them."""
+        """The zone of each member that is present, serves and takes part in failover, including this one."""
         self.member_zones = dict(member_zones)
 
     @property
     def requested_drains(self) -> frozenset[str]:
-        """Zones that operators want empty, as far as this one knows."""
+        """Zones that operators have drained, as far as this controller knows."""
         plan = self.council.plan
         return self.planner.drained if self.leading or plan is None else frozenset(plan.drained)
 
     def drain(self, zone: str, away: bool, force: bool = False) -> str:
-        """At the leader: operators want the zone empty, or no longer (`away` false); gives why not, where that would
-        overload the rest."""
+        """At the leader: drains the zone for operators, or ends that (`away` false). Returns the reason of a refusal,
+        where the other zones could not take the load."""
         if zone not in self.topology.regions:
             return f"no zone {zone}: expected one of {', '.join(self.topology.zones)}"
         zones = self.requested_drains | {zone} if away else self.requested_drains - {zone}
@@ -117,10 +121,10 @@
         if leads is not self.leading:
             self.leading = leads
             self._event("leads" if leads else "led", (self.council.ballot.term, 0))
-            # What it did in an earlier term of its own is no measure of what others changed since.
+            # The time of the last change in an own earlier term says nothing about changes by others since.
             self.planner.changed_at = now
             if leads and self.council.plan is not None:
-                # What operators asked of an earlier leader holds on.
+                # Drains that operators requested from an earlier leader stay.
                 self.planner.drained = frozenset(self.council.plan.drained)
         if now >= self.check_at:
             self.check_at = now + CHECK_INTERVAL_MS
@@ -145,21 +149,21 @@
             self._event(
                 "follows" if followed is not None else "alone",
                 epoch,
-                followed.reason if followed is not None else "no word of a plan",
+                followed.reason if followed is not None else "no plan in force is known",
             )
         return effects
 
     def _event(self, kind: str, epoch: tuple[int, int], why: str = ""):
         self.events.append(FailoverEvent(kind, self.now, epoch, why))
 
-    # What is to be done
+    # Outputs
 
     def follow(self, now: float) -> Plan:
-        """The plan in force, or the safe one."""
+        """The plan in force, or the fallback plan."""
         decided = self.council.in_force(now)
         if decided is not None:
             return decided
-        # Once for what is known: each inference asks, also when nobody tells a plan.
+        # Computed once per update of the states, as each inference asks for it.
         if self._fallback is None:
             self._fallback = fallback_plan(self.topology, self.states)
         return self._fallback
--- a/sprucespool/failover/gauge.py
+++ b/sprucespool/failover/gauge.py
@@ -1,7 +1,7 @@
-"""From what is known of invokers and told by controllers to the states of the zones. No I/O, no clock.
+"""Estimates the state of each zone from the view of the invokers and from the controllers' reports. No I/O, no clock.
 
-Capacity comes from the fleet's view alone (who serves, how large, how long already, who is doubted): a controller has
-no word in it, so none can lie about it. Load is each controller's own word, bounded by what its zone could carry.
+Capacity comes from the fleet view alone (which invokers serve, their size, their age, which are unreachable), so no
+controller can misreport it. Load is what each controller reports, bounded by what its zone could carry.
 """
 
 from __future__ import annotations
@@ -19,7 +19,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ServingInvoker:
-    """An invoker that serves. `age`: ms it runs, None where nobody told; `ill`: others cannot reach it."""
+    """An invoker that serves. `age`: ms since its start, None if unknown. `unreachable`: other members cannot reach
+    it."""
 
     zone: str
     size: float
@@ -30,9 +31,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """A controller's word: cores asked by what enters at it, cores that its own zone did for it, the parts of what it
-    sent there that came back, and that came in SLO time (-1: not known). `at`: when it said so, None where that is not
-    known."""
+    """A controller's report: cores that its clients' inferences need (`free`, and `bound` to the region), cores that
+    its own zone delivered to it, the shares of its forwards there that returned, and that returned in SLO time (-1: not
+    known). `reported_at`: when it was made, None if unknown."""
 
     zone: str
     free: float
@@ -50,41 +51,44 @@
 
     cold_share: float = 0.25
     warm_after: float = 15_000.0
-    # Cores that a unit of a roster's size stands for.
+    # Cores per unit of size in the roster.
     cores_per_size_unit: float = 1.0
-    # A zone that brings less than this part of its own traffic back can take no more than it does: all of its cores
-    # where there is just too much work, a part where invokers hang or fail though their health looks fine.
+    # A zone that returns less than this share of its own traffic (a grey failure) counts with no more capacity than the
+    # work it does: all of its cores where there is just too much work, a share of them where invokers hang or fail
+    # although they look healthy.
     grey_threshold: float = 0.5
     min_trust: float = 0.04
-    # Believed again twice as much at a time while so much comes back, and in time: of a trickle all comes back from
-    # invokers that are ten times too slow for more. After each relapse the steps are twice as long, up to the most.
+    # Trust doubles at this interval while at least `regain_threshold` of the traffic returns, and in time: invokers
+    # that are ten times too slow still return all of very little traffic. Each relapse doubles the interval, up to
+    # `max_regain_interval`.
     regain_interval: float = 3_000.0
     max_regain_interval: float = 24_000.0
-    # While less than this part of all capacity is believed, the fault is none of a zone's (a library that is slow, a
-    # cold start): all of them are used, or most would be shed for what no other zone does better.
+    # If less than this share of all capacity is trusted, the cause is not in single zones (a slow model library, a cold
+    # start): all zones are used fully. Otherwise most traffic would be shed though no other zone does better.
     panic_threshold: float = 0.5
-    # All of it is forgotten when a zone was believed whole for so long.
+    # Past relapses are forgotten when a zone was fully trusted for this time.
     relapse_memory: float = 60_000.0
     regain_threshold: float = 0.8
-    # Of a member's own word no more counts than so many times the middle one's, where so many tell.
+    # The load that a member reports counts only up to this multiple of the median, if enough members report.
     max_median_multiple: float = 3.0
     min_reports_for_median: int = 5
-    # A member that is heard of no more may be dead, or cut off with all its clients: what it asked of its own zone is
-    # kept free there for so long.
+    # A member without reports may be dead, or cut off together with its clients: the capacity that it used in its own
+    # zone stays reserved there for this time.
     absent_load_lifetime: float = 30_000.0
-    # What is asked is evened out over so long, as a plan that runs after each burst comes too late for all of them;
-    # what rises counts sooner than what falls.
+    # Time constants that smooth the demand, as a plan that follows each burst is too late for all of them. Rising
+    # demand counts sooner than falling demand.
     rise_time: float = 400.0
     fall_time: float = 1_500.0
 
 
 @dataclass(slots=True)
 class Reports:
-    """The figures of each member: told directly of late, or else by its row in the group. Among 300 a row's word is
-    half a minute old when it comes: taken for newer than what was told directly, it hid most of the load."""
+    """The measurements of each member: its direct report while fresh, else those of its row in the group. Among 300
+    members a row is half a minute old when it arrives; when it replaced newer direct reports, it hid most of the
+    load."""
 
     max_members: int = 4_096
-    # ms that what was told directly counts: two tellings may be missed.
+    # ms that a direct report counts: two reports may be missed.
     freshness: float = 12_000.0
     direct: dict[str, tuple[tuple[float, ...], float]] = field(default_factory=dict)
 
@@ -93,42 +97,42 @@
             self.direct[name] = figures, now
 
     def of(self, now: float, name: str, row: tuple[float, ...]) -> tuple[tuple[float, ...], float | None]:
-        """The figures, and when they were said: None where it was by the row."""
+        """The measurements and when they were reported; the time is None if they come from the row."""
         figures, at = self.direct.get(name, (row, -math.inf))
         return (figures, at) if now - at < self.freshness else (row, None)
 
     def keep(self, names: Iterable[str]) -> None:
-        """Forget all others."""
+        """Forget all members but these."""
         known = set(names)
         self.direct = {name: one for name, one in self.direct.items() if name in known}
 
 
 @dataclass(slots=True, eq=False)
 class Gauge:
-    """Keeps how far each zone is believed; all else follows from what it is handed."""
+    """Keeps the trust in each zone and the smoothed demand; computes zone states from its inputs."""
 
     topology: Topology
     limits: GaugeLimits = field(default_factory=GaugeLimits)
     trust: dict[str, float] = field(default_factory=dict)
     trust_changed_at: dict[str, float] = field(default_factory=dict)
-    # By zone: how long a step back to being believed takes, and whether one was taken since the last fall.
+    # By zone: the current regain interval, and whether trust was regained since it last fell.
     regain_steps: dict[str, float] = field(default_factory=dict)
     regaining: set[str] = field(default_factory=set)
-    # By zone: what is asked (free, bound), evened out; when that was.
+    # By zone: the smoothed demand (free, bound), and when it was updated.
     demand: dict[str, tuple[float, float]] = field(default_factory=dict)
     demand_at: float = math.nan
-    # By zone: cores that each of its cells can take now, as far as the roster tells cells. For operators: a lost cell
-    # is a zone with less to take, and traffic enters at zones.
+    # By zone: cores that each of its cells can take now, where the roster names cells. Shown to operators only: plans
+    # go by zone, where a lost cell is a loss of capacity.
     cells: dict[str, dict[str, float]] = field(default_factory=dict)
-    # By zone: when nothing stood there last.
+    # By zone: when it last had no usable invokers.
     empty_at: dict[str, float] = field(default_factory=dict)
-    # By member: zone, cores asked, when that was told last.
+    # By member: zone, cores needed, time of its last report.
     last_reports: dict[str, tuple[str, float, float]] = field(default_factory=dict)
 
     def states(
         self, now: float, invokers: Iterable[ServingInvoker], reports: Iterable[LoadReport], plan: Plan | None = None
     ) -> dict[str, ZoneState]:
-        """The state of each zone of the topology; what stands in no known zone counts nowhere. `plan`: in force."""
+        """The state of each zone of the topology; unknown zones are ignored. `plan`: the one in force."""
         limits, zones = self.limits, self.topology.zones
         capacity, warm = dict.fromkeys(zones, 0.0), dict.fromkeys(zones, 0.0)
         self.cells = {}
@@ -145,7 +149,7 @@
                     self.cells[one.zone][one.cell] += available
         for zone in zones:
             if not warm[zone]:
-                # Whoever comes there is another, of whom nothing is known: believed, until it falls as well.
+                # Invokers that start there later are others: they are trusted until they fail as well.
                 self.empty_at[zone] = now
                 if self.trust.pop(zone, 1.0) < 1.0:
                     self.trust_changed_at[zone] = now
@@ -160,7 +164,7 @@
             max_load = min(max_load, limits.max_median_multiple * reported_loads[len(reported_loads) // 2])
         reporting = set()
         for report in members:
-            # What a controller says of its load could be anything: no more of it counts than could well be.
+            # A controller may report any load: it counts only up to a plausible limit.
             asked_cores = max(0.0, report.free) + max(0.0, report.bound)
             scale = min(1.0, max_load / asked_cores) if asked_cores > 0 else 0.0
             reporting.add(report.name)
@@ -194,11 +198,11 @@
         }
         carried = zone_loads(states, plan) if plan is not None else {}
         for zone in zones:
-            # The middle one's word: a single controller that lies or is ill itself makes no zone grey.
+            # The median counts, so that a single controller that misreports or has faults itself degrades no zone.
             returned = sorted(share for share, _ in health[zone])
             in_time = sorted(share for _, share in health[zone])
             if returned and capacity[zone] > 0:
-                # What others' traffic gets there is as much of its part as what the own traffic gets.
+                # The work done for other zones' traffic is assumed to be in proportion to that for the own traffic.
                 own = zone_loads({zone: states[zone]}, plan).get(zone, 0.0) if plan is not None else 0.0
                 done_cores = home_cores[zone] * (carried[zone] / own if own > 0 else 1.0)
                 self._update_trust(
@@ -214,8 +218,8 @@
         return {zone: replace(state, trust=round(self.trust.get(zone, 1.0), 2)) for zone, state in states.items()}
 
     def _reported_since_empty(self, now: float, report: LoadReport) -> bool:
-        """Whether it speaks of who stands there now. Seen: a zone that was lost came back, and for 16 s got a
-        twenty-fifth of its traffic by what members had said of the ones before."""
+        """Whether the report is about the invokers that are in the zone now. Without this check a zone that came back
+        got a twenty-fifth of its traffic for 16 s, because of reports about its earlier invokers."""
         emptied_at = self.empty_at.get(report.zone, -math.inf)
         return (
             report.reported_at > emptied_at
--- a/sprucespool/failover/plan.py
+++ b/sprucespool/failover/plan.py
@@ -1,6 +1,7 @@
-"""A plan: for each zone of clients the parts of its traffic that go to each zone of invokers, and what each may take.
+"""A plan: for each zone of clients the shares of its traffic that go to each zone of invokers, and the caps of these.
 
-Plain data with an epoch, a reason and an end. Parts of a zone sum to 1 at the most; what is missing is shed near.
+Plain data with an epoch and a reason. The shares of a zone sum to at most 1; the rest is shed by the controllers of
+that zone.
 """
 
 from __future__ import annotations
@@ -15,8 +16,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """`free` and `bound`: shares by zone of clients, then of invokers; `bound` is for what must stay in its region.
-    `caps`: what a zone may take, in the unit of load. `epoch` (term, number) orders plans; `term` 0 is nobody's."""
+    """`free` and `bound`: shares by zone of clients, then by zone of invokers; `bound` is traffic that must stay in its
+    region. `caps`: the most that a zone may take, in the unit of load. `epoch` (term, number) orders plans; a plan of
+    term 0 was decided by no leader."""
 
     epoch: tuple[int, int]
     free: Shares
@@ -30,7 +32,7 @@
 
 
 def rounded(shares: Mapping[str, Mapping[str, float]], steps: int = 1000) -> Shares:
-    """To whole steps, so that equal inputs make equal plans on any machine; never above 1 in sum."""
+    """Shares rounded to whole steps, so that equal inputs make equal plans on any machine; the sum never exceeds 1."""
     result: Shares = {}
     for zone in sorted(shares):
         row = {to: int(share * steps + 0.5) for to, share in sorted(shares[zone].items())}
@@ -44,13 +46,13 @@
 
 
 def home_plan(zones: Iterable[str], reason: str = "all near") -> Plan:
-    """The plan of whoever knows nothing better: everybody stays at home. Nobody's, so that any other replaces it."""
+    """The default plan: all traffic stays in its own zone. Its epoch is (0, 0), so any decided plan replaces it."""
     home = {zone: {zone: 1.0} for zone in sorted(zones)}
     return Plan((0, 0), home, {zone: dict(row) for zone, row in home.items()}, {}, reason)
 
 
 def distance(one: Shares, other: Shares) -> float:
-    """The largest part of any zone's traffic that goes elsewhere by the other plan."""
+    """The largest share of any zone's traffic that the other plan sends elsewhere."""
     worst = 0.0
     for zone in {*one, *other}:
         a, b = one.get(zone, {}), other.get(zone, {})
@@ -59,17 +61,17 @@
 
 
 def plan_errors(plan: Plan, topology: Topology) -> list[str]:
-    """What is wrong with a plan that somebody tells: parts out of bounds, sums above 1, `bound` leaving its region,
-    zones that nobody knows. An empty list: it can be followed."""
+    """The errors of a received plan: shares out of bounds, sums above 1, `bound` traffic that leaves its region,
+    unknown zones. An empty list means that the plan can be followed."""
     errors = []
     for name, shares in (("free", plan.free), ("bound", plan.bound)):
         for zone, row in shares.items():
             if any(not 0 <= share <= 1 for share in row.values()) or sum(row.values()) > 1 + 1e-6:
-                errors.append(f"{name} {zone}: parts from 0 to 1 and a sum of 1 at the most were expected")
-            errors += [f"{name} {zone}: no zone {to!r} is known" for to in (zone, *row) if to not in topology.regions]
+                errors.append(f"{name} {zone}: expected shares from 0 to 1 with a sum of at most 1")
+            errors += [f"{name} {zone}: unknown zone {to!r}" for to in (zone, *row) if to not in topology.regions]
             if name == "bound":
                 errors += [
-                    f"bound {zone}: {to} lies in another region" for to in row if not topology.same_region(zone, to)
+                    f"bound {zone}: {to} is in another region" for to in row if not topology.same_region(zone, to)
                 ]
     errors += [f"cap {zone}: expected 0 or more" for zone, cap in plan.caps.items() if not 0 <= cap < 1e12]
     return errors
--- a/sprucespool/failover/planner.py
+++ b/sprucespool/failover/planner.py
@@ -1,8 +1,8 @@
-"""From what is known of each zone to the next plan: near first, far as far as needed, back in steps, seldom.
+"""Makes the next plan from the state of each zone: own zone first, other zones only as needed, few changes.
 
-No I/O, no clock; the same inputs make the same plan. What keeps it calm: a plan holds while it is safe and the
-better one is not better by `worth`; what goes back to a recovered zone goes in steps bound to its warm capacity;
-and a bucket of changes bounds them under any input, of which the last few are kept for what is urgent.
+No I/O, no clock; the same inputs make the same plan. Three rules keep it stable: a plan stays while it is safe and the
+better one does not differ by `min_change`; traffic returns to a recovered zone in steps bounded by the zone's capacity;
+and a token bucket bounds the changes under any input, with the last few tokens reserved for urgent changes.
 """
 
 from __future__ import annotations
@@ -18,15 +18,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneState:
-    """Of one zone as far as is known, in one unit of load (cores busy). `now`: what its invokers can take at this
-    moment, `warm`: when all that run are warm. `free`, `bound`: what clients ask that enter here."""
+    """The estimated state of one zone, in one unit of load (busy cores). `now`: the capacity of its invokers at this
+    moment; `warm`: their capacity when all that run are warm. `free`, `bound`: the demand of the clients that enter
+    here."""
 
     zone: str
     now: float
     warm: float
     free: float = 0.0
     bound: float = 0.0
-    # How far the figures are believed, 0 to 1: less of a zone is used that nobody can look into.
+    # How far the capacity is trusted, 0 to 1: the zone is used with this share of it.
     trust: float = 1.0
 
 
@@ -34,18 +35,20 @@
 class PlannerLimits:
     """Times in ms."""
 
-    # The part of a zone's capacity that its own traffic may take, and that others' may fill it to.
+    # The share of a zone's capacity that its own traffic may take, and up to which other zones' traffic may fill it.
     own_most: float = 0.85
     far_most: float = 0.85
-    # Others' traffic is spread so far first, and further only when all that it may go to is filled so far.
+    # Other zones' traffic fills all allowed zones up to the first level before any of them is filled beyond it, and so
+    # on.
     fill_levels: tuple[float, ...] = (0.7, 0.78)
-    # A change is worth making when so much of some zone's traffic goes elsewhere by it.
+    # A plan changes only if at least this share of some zone's traffic moves.
     min_change: float = 0.05
-    # Going back: at most this part of the recovered zone's warm capacity a step, no sooner than that after the last.
+    # Traffic returns to a recovered zone by at most this share of the zone's current capacity per step, with this time
+    # between steps.
     return_step: float = 0.25
     return_interval: float = 3_000.0
     settle_time: float = 3_000.0
-    # Changes in a bucket that fills one each `refill`; so many are kept for what is urgent.
+    # Token bucket of changes: one token per `token_interval`; `reserved_tokens` are for urgent changes only.
     max_tokens: int = 8
     token_interval: float = 3_750.0
     reserved_tokens: int = 2
@@ -53,7 +56,7 @@
 
 @dataclass(slots=True, eq=False)
 class Planner:
-    """Call `next` with the states and the time; gives a plan to be decided, or None to leave things as they are."""
+    """Call `next` with the states and the time; it returns a plan to propose, or None to keep the current one."""
 
     topology: Topology
     limits: PlannerLimits = field(default_factory=PlannerLimits)
@@ -61,12 +64,13 @@
     refilled_at: float = 0.0
     changed_at: float = -1e18
     changes: int = 0
-    # Zones that operators want empty.
+    # Zones that operators have drained.
     drained: frozenset[str] = frozenset()
 
     def target(self, states: Mapping[str, ZoneState]) -> tuple[Shares, Shares, dict[str, float], dict[str, float]]:
         """(free, bound, caps, shed) if everything could be changed at once. Two rounds: each zone's own traffic may
-        fill it to `own_most`; others' only to `far_most` of what is warm, so that one more loss finds room."""
+        fill it to `own_most` of its capacity; then other zones' traffic only to `far_most`, so that there is room for
+        the loss of one more zone."""
         limits = self.limits
         own: dict[str, tuple[float, float]] = {}
         remaining: dict[str, Demand] = {}
@@ -95,8 +99,9 @@
     def _place_by_levels(
         self, remaining: dict[str, Demand], room: dict[str, float], capacity: Mapping[str, float]
     ) -> Placement:
-        """Level by level: a zone is filled to the brim only when all others are filled well, or what bursts there has
-        no room while others idle. Within a level the least cost counts. Never less in all than in one go."""
+        """Places demand level by level: a zone is filled completely only when the others are filled well. Otherwise a
+        burst there would have no room while other zones idle. Within a level the cost decides. If the levels would
+        place less in total than a single pass, the single pass counts."""
         single_pass = place(remaining, room, self.topology)
         load = {zone: capacity.get(zone, 0.0) * self.limits.far_most - room[zone] for zone in room}
         free: dict[tuple[str, str], float] = {}
@@ -120,7 +125,7 @@
         return levelled if sum(result.shed.values()) <= sum(single_pass.shed.values()) + 1e-6 else single_pass
 
     def next(self, now: float, states: Mapping[str, ZoneState], plan: Plan) -> Plan | None:
-        """`plan` is the one in force; what comes back has its epoch, to be numbered by whoever decides."""
+        """`plan` is the one in force; the returned plan has its epoch, and the council assigns the new one."""
         self._refill_tokens(now)
         free, bound, caps, shed = self.target(states)
         overloaded = self._overloaded(states, plan)
@@ -132,7 +137,7 @@
         drains_changed = tuple(sorted(self.drained)) != plan.drained
         if change < self.limits.min_change and not drains_changed and not (overloaded and change > 1e-3):
             return None
-        # Shedding what there is room for again is as bad as too much in one place.
+        # Shedding traffic that has room again is as urgent as an overload.
         less_shed = _shed_share(states, plan.free, plan.bound) - _shed_share(states, *target)
         urgent = bool(overloaded) or drains_changed or less_shed > self.limits.min_change
         if not urgent and now - self.changed_at < self.limits.settle_time:
@@ -153,7 +158,7 @@
         self.tokens = min(float(self.limits.max_tokens), self.tokens + gained)
 
     def _overloaded(self, states: Mapping[str, ZoneState], plan: Plan) -> list[str]:
-        """Zones that get more by the plan in force than they can take now."""
+        """Zones that get more load by the plan in force than they can take now."""
         load = {**dict.fromkeys(self.topology.zones, 0.0), **zone_loads(states, plan)}
         capacity = {zone: state.now * state.trust for zone, state in states.items() if zone not in self.drained}
         return [zone for zone in self.topology.zones if load[zone] > 1e-6 and load[zone] > capacity.get(zone, 0.0)]
@@ -167,7 +172,7 @@
         overloaded: list[str],
         bound: bool = False,
     ) -> Shares:
-        """What leaves a zone that is over its capacity leaves at once; what goes back home goes in steps."""
+        """Traffic leaves an overloaded zone at once, but returns to its home zone in steps."""
         current = plan.bound if bound else plan.free
         result: Shares = {}
         for zone in target:
@@ -178,10 +183,10 @@
                 demand = state.bound if bound else state.free
                 too_early = now - self.changed_at < self.limits.return_interval
                 step = 0.0 if too_early else self.limits.return_step * state.now / max(demand, 1e-9)
-                # What was shed here comes from nowhere else: nothing of it is cold.
+                # Traffic that was shed comes from no other zone, so no warm copies elsewhere are lost by it.
                 step += max(0.0, 1.0 - sum(before.values()))
                 if step < gain and not any(to in overloaded for to in before if to != zone):
-                    # The rest stays where it is, as far as the wish leaves it there.
+                    # The remainder stays where it is, up to its current share there.
                     row[zone] = before.get(zone, 0.0) + step
                     remainder = 1.0 - row[zone] - sum(share for to, share in row.items() if to != zone)
                     for to, share in sorted(before.items(), key=lambda item: -item[1]):
@@ -211,7 +216,7 @@
 
 
 def _shed_share(states: Mapping[str, ZoneState], free: Shares, bound: Shares) -> float:
-    """The part of all that is asked that goes nowhere."""
+    """The share of all demand that is shed."""
     demand = shed = 0.0
     for zone, state in states.items():
         for amount, shares in ((state.free, free), (state.bound, bound)):
@@ -221,7 +226,7 @@
 
 
 def zone_loads(states: Mapping[str, ZoneState], plan: Plan) -> dict[str, float]:
-    """What each zone of invokers gets by a plan, in cores."""
+    """The load of each zone of invokers by a plan, in cores."""
     load = dict.fromkeys(states, 0.0)
     for zone, state in states.items():
         for amount, shares in ((state.free, plan.free), (state.bound, plan.bound)):
@@ -243,9 +248,9 @@
 def fallback_plan(
     topology: Topology, states: Mapping[str, ZoneState], max_fill: float = 0.85, share: float = 0.5
 ) -> Plan:
-    """What one that cannot know the rest goes by: near; of what does not fit there as much to the other zones of the
-    region as `part` of the room that is seen in them, since whoever is not seen may want the same room; no zone is
-    emptied on its account, and nothing goes beyond the region. What is left is shed."""
+    """The plan of a controller without a decided one: traffic stays in its own zone. What does not fit goes to the
+    other zones of the region, up to the given `share` of their visible room, as controllers that are not visible may
+    want the same room. No zone is emptied for it, and nothing leaves the region. The remainder is shed."""
     plan = home_plan(topology.zones, "alone: near, bounded spill")
     free: Shares = {}
     for zone in topology.zones:
@@ -261,7 +266,7 @@
         }
         spill = min(demand - state.now, share * sum(room.values()))
         row = {to: spill / demand * zone_room / sum(room.values()) for to, zone_room in room.items() if zone_room > 0}
-        # A zone with nothing left keeps nothing; one that has too little keeps all that goes nowhere else.
+        # A zone without capacity keeps nothing; one with too little keeps all that does not spill over.
         free[zone] = {**({zone: 1.0 - spill / demand} if state.now > 0 else {}), **row}
     shares = rounded(free)
     return replace(plan, free=shares, bound={zone: dict(row) for zone, row in shares.items()})
--- a/sprucespool/failover/solver.py
+++ b/sprucespool/failover/solver.py
@@ -1,8 +1,8 @@
-"""Who sends how much where: as much as fits, as near as it goes. Exact, small, without I/O.
+"""Places demand on zones: as much as fits, at the least cost. Exact, small, without I/O.
 
-A transport problem: zones of clients ask, zones of invokers take up to a cap. First as much is placed as can be (of
-what must stay in its region only there), then at the least cost, by shortest augmenting paths over the residual
-network (a dozen zones: some hundred steps). What fits nowhere is left where it entered, told as shed.
+A transport problem: zones of clients have demand, zones of invokers take load up to a cap. As much as possible is
+placed (bound demand only within its region), at the least total cost, by shortest augmenting paths over the residual
+network (a dozen zones take some hundred steps). What fits nowhere is reported as shed in the zone where it entered.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """What enters a zone, in the unit that caps count in. `bound`: the part of it that must not leave the region."""
+    """The demand that enters a zone, in the unit of the caps. `bound`: the amount that must not leave the region."""
 
     free: float = 0.0
     bound: float = 0.0
@@ -33,7 +33,7 @@
 
 
 def place(demand: Mapping[str, Demand], caps: Mapping[str, float], topology: Topology) -> Placement:
-    """`caps` by zone of invokers; no figure may be negative."""
+    """`caps` by zone of invokers; no amount may be negative."""
     kinds = ("bound", "free")
     sources = [(zone, kind) for zone in sorted(demand) for kind in kinds if _amount(demand[zone], kind) > EPSILON]
     remaining = {source: _amount(demand[source[0]], source[1]) for source in sources}
@@ -72,7 +72,7 @@
 
 
 Source = tuple[str, str]
-# (source, zone, whether the flow between them grows).
+# (source, zone, whether the flow between them grows)
 Step = tuple[Source, str, bool]
 
 
@@ -82,8 +82,8 @@
     costs: dict[tuple[Source, str], float],
     flow: dict[tuple[Source, str], float],
 ) -> tuple[list[Step], float] | None:
-    """The cheapest way on which more can be placed, and how much: from a source with something left, over zones that
-    give some of theirs to another, to a zone with room. Bellman-Ford, as residual costs may be negative."""
+    """The cheapest augmenting path and the amount that it can carry: from a source with remaining demand, possibly over
+    zones that hand load on to another, to a zone with room. Bellman-Ford, as residual costs may be negative."""
     at_source: dict[Source, tuple[float, list[Step]]] = {
         source: (0.0, []) for source, amount in remaining.items() if amount > EPSILON
     }
--- a/sprucespool/failover/spread.py
+++ b/sprucespool/failover/spread.py
@@ -1,7 +1,7 @@
-"""How the plan in force reaches all: by a tree of two steps from who leads, and on whatever is said anyway. No I/O.
+"""Distributes the plan in force to all controllers, over a tree of two levels from the leader. No I/O.
 
-Messages of the group alone would do, but slowly: at 300 members the last one hears after many periods, and whoever
-hears no renewal for long goes by the safe plan.
+The plan also travels with every message of the group. That alone would be too slow: among 300 members the last one
+would receive it after many periods, and a controller without renewals falls back to the fallback plan.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RenewalDelivery:
-    """Tell `renewal` at an address, which tells it on to `pass_on`."""
+    """Send `renewal` to an address, whose controller forwards it to `pass_on`."""
 
     to: str
     renewal: Renewal
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True, eq=False)
 class Spread:
-    """`every`: ms between renewals told to all; a new plan is told at once."""
+    """`interval`: ms between renewals; a new plan is sent at once."""
 
     seed: int = 1
     interval: float = 2_000.0
@@ -34,7 +34,7 @@
     draws: int = 0
 
     def distribute(self, now: float, renewal: Renewal | None, others: Sequence[str]) -> list[RenewalDelivery]:
-        """At who leads, as often as it likes."""
+        """Called by the leader, at any rate: the deliveries that are due now."""
         if renewal is None or renewal.plan.epoch == self.epoch and now - self.sent_at < self.interval:
             return []
         self.epoch, self.sent_at = renewal.plan.epoch, now
@@ -48,5 +48,5 @@
 
     @staticmethod
     def relay(renewal: Renewal, pass_on: Sequence[str]) -> list[RenewalDelivery]:
-        """At whoever was told with others to tell: the second step, and the last."""
+        """At a controller that received `pass_on`: the second level of the tree, which is the last."""
         return [RenewalDelivery(to, renewal) for to in pass_on]
--- a/sprucespool/failover/steer.py
+++ b/sprucespool/failover/steer.py
@@ -1,8 +1,10 @@
-"""Which zones an inference may go to, by the plan in force and by what this controller sees itself. No I/O, no clock.
+"""Selects the zones of each inference, by the plan in force and by this controller's own observations. No I/O, no
+clock.
 
-The parts of the plan are kept exactly, by debts instead of chance: of any run of inferences each zone gets its part,
-one more or less. Own evidence outranks the plan: a zone that answers nothing is left at once and tried now and then.
-What the plan has no room for is shed here, near and early, the least valued first.
+The shares of the plan are kept exactly, by deficits instead of random choice: of any run of inferences each zone gets
+its share, give or take one. Own observations override the plan: a zone that does not answer is excluded at once and
+gets trials from time to time. Traffic that the plan has no room for is shed here, before any forward, the least valued
+first.
 """
 
 from __future__ import annotations
@@ -19,18 +21,18 @@
 class SteerLimits:
     """Times in ms."""
 
-    # So many forwards in a row without an answer, over so long at least: the zone is left.
+    # A zone is excluded after this number of consecutive forwards without an answer, over at least this time.
     max_failures: int = 6
     min_failure_time: float = 150.0
     initial_trial_interval: float = 500.0
     max_trial_interval: float = 4_000.0
-    # Over so many inferences their values are weighed.
+    # Number of inferences over which their values are weighed.
     memory: float = 200.0
 
 
 @dataclass(slots=True)
 class _Observation:
-    """Own evidence of a zone."""
+    """What this controller observed of a zone; `failures`: consecutive forwards without an answer."""
 
     failures: int = 0
     first_failure_at: float = 0.0
@@ -41,14 +43,16 @@
 
 @dataclass(slots=True)
 class ValueShedder:
-    """Sheds a part of what comes, the least valued first: all under a value, and of that value what is missing."""
+    """Sheds a share of the inferences, the least valued first: all below a value, and of that value as many as needed.
+
+    `memory`: number of inferences over which values are weighed."""
 
     memory: float = 200.0
     weights: dict[float, float] = field(default_factory=dict)
     deficit: float = 0.0
 
     def sheds(self, value: float, shed_share: float) -> bool:
-        """Whether this one is to be shed so that the part `missing` of all is."""
+        """Whether to shed this inference so that `shed_share` of all are shed."""
         decay = 1.0 - 1.0 / self.memory
         for other in list(self.weights):
             self.weights[other] *= decay
@@ -60,7 +64,7 @@
             return False
         total = sum(self.weights.values())
         lower_weight = sum(weight for other, weight in self.weights.items() if other < value)
-        # What is left to shed when all of less value is, as a part of those of this value.
+        # What remains to be shed after all of lower value, as a share of those of this value.
         share = min(1.0, max(0.0, shed_share * total - lower_weight) / self.weights[value])
         if share >= 1.0:
             return True
@@ -73,7 +77,8 @@
 
 @dataclass(slots=True, eq=False)
 class Steer:
-    """One controller's. `serves` are the zones where anything is known to serve; None: nothing is known."""
+    """One controller's selection of zones. `serving_zones`: zones with invokers that serve; None if nothing is
+    known."""
 
     zone: str
     topology: Topology
@@ -86,10 +91,10 @@
     def __post_init__(self):
         self._shedders = {bound: ValueShedder(self.limits.memory) for bound in (False, True)}
 
-    # Own eyes
+    # Own observations
 
     def ended(self, now: float, zone: str, answered: bool) -> None:
-        """A forward to that zone ended; `answered`: the invoker said something of its own."""
+        """A forward to that zone ended; `answered`: the invoker itself answered, with whatever outcome."""
         observation = self.observations.setdefault(zone, _Observation())
         if answered:
             observation.failures, observation.excluded, observation.trial_interval = 0, False, 0.0
@@ -106,16 +111,16 @@
             observation.trial_at = now + observation.trial_interval
 
     def open(self, zone: str) -> bool:
-        """Whether anything is sent there but trials."""
+        """Whether the zone gets more than trials."""
         observation = self.observations.get(zone)
         return (observation is None or not observation.excluded) and (
             self.serving_zones is None or zone in self.serving_zones
         )
 
-    # Choosing
+    # Selection
 
     def zones(self, now: float, plan: Plan, bound: bool, value: float) -> tuple[str, ...]:
-        """The zones that this inference may go to, the first of them first; none: shed it."""
+        """The zones that this inference may go to, in order of preference; none: shed it."""
         row = (plan.bound if bound else plan.free).get(self.zone, {self.zone: 1.0})
         if self._shedders[bound].sheds(value, 1.0 - sum(row.values())):
             return ()
@@ -137,18 +142,18 @@
         return [zone for zone in self.topology.zones if not bound or self.topology.same_region(zone, self.zone)]
 
     def _weights(self, row: Mapping[str, float], bound: bool) -> dict[str, float]:
-        """The plan's parts among zones that are open here; if none is, the nearest that are, in equal parts."""
+        """The plan's shares of its open zones; if none is open, equal shares of the nearest open zones."""
         weights = {zone: share for zone, share in row.items() if share > 0 and self.open(zone)}
         if weights:
             return weights
         open_zones = [zone for zone in self._reachable(bound) if self.open(zone)]
         lowest_cost = min((self.topology.cost(self.zone, zone) for zone in open_zones), default=math.inf)
         nearest = [zone for zone in open_zones if self.topology.cost(self.zone, zone) <= lowest_cost + 1e-9]
-        # All are out in own eyes: as likely this controller is cut off; the plan is the best word there is.
+        # All zones are excluded: this controller itself may be cut off, so the plan is the best information there is.
         return dict.fromkeys(nearest, 1.0) or {zone: share for zone, share in row.items() if share > 0}
 
     def _next_zone(self, bound: bool, weights: Mapping[str, float]) -> str | None:
-        """Whoever is owed most after each got its part: no chance, so that no run of luck fills a zone."""
+        """The zone with the largest deficit. Not random, so that no run of chance overfills a zone."""
         total = sum(weights.values())
         if not total:
             return None
--- a/sprucespool/failover/topology.py
+++ b/sprucespool/failover/topology.py
@@ -1,4 +1,4 @@
-"""Regions, zones, and what it costs to send from one to another. Plain data."""
+"""Regions, zones, and the cost of sending from one zone to another. Plain data."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Topology:
-    """`regions`: of each zone. `costs` between two different zones, in ms one way or whatever the operator counts in;
-    what is not given costs `near` within a region and `far` beyond it."""
+    """`regions`: the region of each zone. `costs`: between two different zones, in ms one way or in any unit that the
+    operator chooses. A pair without a cost costs `same_region_cost` within a region, else `other_region_cost`."""
 
     regions: dict[str, str]
     costs: dict[tuple[str, str], float] = field(default_factory=dict)
@@ -20,7 +20,7 @@
 
     @classmethod
     def of(cls, zones: Iterable[ZonePlace], distances: Iterable[Distance]) -> Topology:
-        """As the operators' files tell it."""
+        """The topology that the operator's settings describe."""
         return cls({one.zone: one.region for one in zones}, {(one.one, one.other): one.cost for one in distances})
 
     @property
@@ -28,7 +28,7 @@
         return sorted(self.regions)
 
     def cost(self, one: str, other: str) -> float:
-        """Nothing within a zone, and always more than that to another."""
+        """0 within a zone; always more than 0 to another zone."""
         if one == other:
             return 0.0
         known_cost = self.costs.get((one, other), self.costs.get((other, one)))
--- a/sprucespool/failover/voter_selection.py
+++ b/sprucespool/failover/voter_selection.py
@@ -1,8 +1,8 @@
-"""When another is to have a vote instead of one that is gone: decided by who leads the council. No I/O, no clock.
+"""Replaces voters that are absent; the leader of the council decides. No I/O, no clock.
 
-One name at a time: first one more, then one less, so that a majority never rests on who is gone. The set goes back to
-as many as the files name. Whoever comes next stands where fewest voters stand, by region and zone, so that no lost
-region takes the majority with it.
+The set changes by one name at a time, first one more, then one less, so that a majority never depends on an absent
+voter. The set returns to the size that the settings name. The next voter comes from the region and zone with the fewest
+voters, so that no loss of one region takes the majority with it.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 
 from sprucespool.failover.topology import Topology
 
-# Sets of voters are small: a word to each of them is said with each beat.
+# Sets of voters are small: each beat is one message to each of them.
 MAX_VOTERS = 9
 
 
 @dataclass(slots=True, eq=False)
 class VoterSelection:
-    """`size`: as many as the files name. `absent`: ms that a voter must be gone; `every`: ms between two changes. All
-    voters `watch`, so that who leads next does not begin to count anew."""
+    """`target_size`: the number of voters in the settings. `absent_after`: ms after which an absent voter is replaced.
+    `change_interval`: ms between two changes. All voters `watch`, so that a new leader does not start counting anew."""
 
     topology: Topology
     target_size: int
@@ -34,8 +34,8 @@
     def next(
         self, now: float, me: str, voters: Sequence[str], member_zones: Mapping[str, str]
     ) -> tuple[str, ...] | None:
-        """The set that should be next, or None to leave it. `places`: the zone of each member that is there, serves
-        and speaks of plans, the own one among them."""
+        """The next set of voters, or None to keep the current one. `member_zones`: the zone of each member that is
+        present, serves and takes part in failover, including this one."""
         self.watch(now, voters, member_zones)
         long_absent = [name for name in voters if now - self.absent_since.get(name, now) >= self.absent_after]
         if now - self.changed_at < self.change_interval:
@@ -50,7 +50,7 @@
         return new_voters
 
     def _voters_nearby(self, zone: str, others: Sequence[str], member_zones: Mapping[str, str]) -> tuple[int, int]:
-        """How many of the others stand in its region, and in its zone."""
+        """The number of the others in its region, and in its zone."""
         zones = [member_zones[name] for name in others if name in member_zones]
         return sum(self.topology.same_region(zone, one) for one in zones), zones.count(zone)
 
@@ -69,7 +69,7 @@
         )
 
     def _remove_voter(self, me: str, voters: Sequence[str], member_zones: Mapping[str, str]) -> tuple[str, ...] | None:
-        """Without one that is gone; if all are back, without one of those that stand closest together."""
+        """Removes a voter that is absent; if none is, one of those with the most voters in its region and zone."""
         absent = sorted(
             (name for name in voters if name in self.absent_since), key=lambda name: self.absent_since[name]
         )
--- a/sprucespool/failover/whatif.py
+++ b/sprucespool/failover/whatif.py
@@ -1,4 +1,4 @@
-"""What would be planned in described states, and whether that is what operators expect. No I/O."""
+"""Computes the plans for described states and checks them against the operators' expectations. No I/O."""
 
 from __future__ import annotations
 
@@ -10,7 +10,8 @@
 
 
 class Expectation(msgspec.Struct):
-    """Of the traffic that enters at `zone`, the part that goes `to` a zone (or `shed`) lies between these."""
+    """Of the traffic that enters at `zone`, the share that goes `to` a zone (or is `shed`) lies between `least` and
+    `most`."""
 
     __args__ = ("zone",)
     zone: str
@@ -28,7 +29,7 @@
 
 
 class ZoneFigures(msgspec.Struct):
-    """Cores: what its invokers take now (all of `warm` where not told), what clients ask that enter here."""
+    """In cores: the current capacity of the invokers (`warm` if not given), and the demand of the clients here."""
 
     __args__ = ("zone",)
     zone: str
@@ -53,7 +54,7 @@
 
 
 class WhatIf(msgspec.Struct):
-    """A file of states with expectations beside them."""
+    """A file of states with the expectations about each."""
 
     zones: list[ZonePlace] = []
     distances: list[Distance] = []
@@ -74,7 +75,7 @@
 
 
 class Answer(msgspec.Struct):
-    """Of one state. `broken`: a line for each expectation that does not hold, naming route and state."""
+    """The plan for one state. `broken`: a line for each expectation that does not hold, with route and state."""
 
     state: str
     free: dict[str, dict[str, float]]
--- a/sprucespool/failover/zone_costs.py
+++ b/sprucespool/failover/zone_costs.py
@@ -1,9 +1,9 @@
-"""What it costs to go from zone to zone: seeded by the operator, measured by the controllers. No I/O, no clock.
+"""Costs between zones: initially set by the operator, then measured by the controllers. No I/O, no clock.
 
-Each controller notes how long the answers of members to its own checks take, by their zone; the middle one of the
-newest of a zone counts, as a busy member answers late. All tell the voters their rows now and then; of a pair of zones
-the middle of what all tell counts, so that one that lies or is slow moves nothing. A cost that is in force is replaced
-only when the measured one is a quarter off: plans must not run after jitter.
+Each controller records the round trips of its health checks of other members, by zone. It takes the median of the
+newest round trips of a zone, as a busy member answers late. All controllers periodically report these costs to the
+voters. For a pair of zones the median of all reports counts, so that a single false or slow reporter changes nothing.
+A cost in use is replaced only when the measured one differs by a quarter: plans must not follow jitter.
 """
 
 from __future__ import annotations
@@ -19,27 +19,27 @@
 
 @dataclass(slots=True, eq=False)
 class ZoneCosts:
-    """`zone` is the own one. `topology` has the costs in force; it is changed in place, for all who hold it."""
+    """`zone` is the controller's own. `topology` holds the costs in use; it is changed in place, for all its users."""
 
     zone: str
     topology: Topology
     max_samples: int = 15
-    # So many answers of a zone are needed.
+    # Round trips of a zone that are needed for an estimate.
     min_samples: int = 5
     change_threshold: float = 0.25
-    # A way within a machine room is not worth telling apart.
+    # In ms. Shorter distances, as within a machine room, need not be told apart.
     min_cost: float = 0.5
     samples: dict[str, deque[float]] = field(default_factory=dict)
-    # By member: its zone and its row.
+    # By member: its zone and the costs that it reported.
     reported: dict[str, tuple[str, dict[str, float]]] = field(default_factory=dict)
 
     def record_round_trip(self, zone: str, round_trip: float) -> None:
-        """A member of that zone answered a check after `took` ms, there and back."""
+        """A member of that zone answered a check; `round_trip` in ms."""
         if zone in self.topology.regions and round_trip >= 0.0:
             self.samples.setdefault(zone, deque(maxlen=self.max_samples)).append(round_trip)
 
     def measured(self) -> dict[str, float]:
-        """One way to each zone that enough is known of, ms."""
+        """One-way time to each zone with enough samples, in ms."""
         return {
             zone: round(max(self.min_cost, sorted(values)[len(values) // 2] / 2), 1)
             for zone, values in sorted(self.samples.items())
@@ -47,7 +47,7 @@
         }
 
     def receive(self, name: str, zone: str, row: Mapping[str, float]) -> None:
-        """Another's row. What names no zone of these counts nowhere."""
+        """The costs that another member measured. Unknown zones are ignored."""
         if zone in self.topology.regions and (name in self.reported or len(self.reported) < MAX_REPORTERS):
             self.reported[name] = (
                 zone,
@@ -59,7 +59,7 @@
             )
 
     def update(self, members: Iterable[str]) -> bool:
-        """Bring the costs up to date by what those members and this one told; true if any changed."""
+        """Update the costs from the reports of these members and the own measurements; true if any changed."""
         live = set(members)
         self.reported = {name: one for name, one in self.reported.items() if name in live}
         costs_by_pair: dict[tuple[str, str], list[float]] = {}
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -1,4 +1,4 @@
-"""Failover: what goes where against an exact solver, plans that change seldom, and how one is decided in common."""
+"""Failover: placement against an exact solver, stability of plans, consensus of the voters, changes of the voters."""
 
 from dataclasses import replace
 
@@ -44,7 +44,7 @@
     st.dictionaries(st.sampled_from(SIX.zones), st.tuples(AMOUNT, AMOUNT), max_size=6),
     st.dictionaries(st.sampled_from(SIX.zones), AMOUNT, max_size=6),
 )
-def test_as_much_is_placed_as_can_be_at_the_least_cost_and_what_is_bound_stays(asked, caps):
+def test_placement_is_maximal_at_the_least_cost_and_bound_demand_stays_in_its_region(asked, caps):
     found = place({zone: Demand(free, bound) for zone, (free, bound) in asked.items()}, caps, SIX)
     graph = networkx.DiGraph()
     graph.add_node("from"), graph.add_node("to")
@@ -82,7 +82,7 @@
 
 @FAST
 @given(SHARES)
-def test_shares_in_whole_steps_stay_close_and_never_above_one(shares):
+def test_rounded_shares_stay_close_and_never_sum_to_more_than_one(shares):
     found = rounded(shares)
     assert rounded(found) == found and distance(found, shares) < 0.01
     assert plan_errors(Plan((1, 1), found, {}), SIX) == []
@@ -90,25 +90,25 @@
 
 def states(**over):
     found = {zone: ZoneState(zone, 20.0, 20.0, 9.0, 1.0) for zone in SIX.zones}
-    return {**found, **{zone: replace(found[zone], **told) for zone, told in over.items()}}
+    return {**found, **{zone: replace(found[zone], **changes) for zone, changes in over.items()}}
 
 
-def test_with_all_well_everybody_stays_at_home_and_no_plan_changes():
+def test_healthy_zones_keep_their_own_traffic_and_the_plan_does_not_change():
     planner, plan = Planner(SIX), home_plan(SIX.zones)
     assert all(planner.next(1_000.0 * n, states(), plan) is None for n in range(60))
 
 
-def test_a_lost_zone_goes_to_its_region_first_as_far_as_that_is_safe_and_bound_work_never_leaves_it():
+def test_traffic_of_a_lost_zone_goes_to_its_region_first_and_bound_traffic_never_leaves_it():
     planner = Planner(SIX)
     plan = planner.next(0.0, states(a1={"now": 0.0, "warm": 0.0}), home_plan(SIX.zones))
     assert plan.share("a1", "a1") == 0.0 and plan.share("a1", "a2", bound=True) == 1.0
     load = zone_loads(states(), plan)
-    assert load["a2"] <= 15.0 + 0.1, "no zone is handed more than leaves room for one more loss"
-    assert plan.share("a1", "b1") > 0 and plan.share("a1", "b2") == 0, "then the nearest zone of another region"
+    assert load["a2"] <= 15.0 + 0.1, "each zone keeps room for the loss of one more"
+    assert plan.share("a1", "b1") > 0 and plan.share("a1", "b2") == 0, "then to the nearest zone of another region"
     assert "a1" in plan.reason and plan_errors(plan, SIX) == []
 
 
-def test_what_fits_nowhere_is_shed_near_and_said():
+def test_demand_that_fits_nowhere_is_shed_and_named_in_the_reason():
     planner = Planner(SIX)
     full = states(**{**{zone: {"free": 19.0} for zone in SIX.zones}, "a1": {"free": 19.0, "now": 0.0, "warm": 0.0}})
     plan = planner.next(0.0, full, home_plan(SIX.zones))
@@ -116,14 +116,14 @@
     alone = fallback_plan(SIX, full)
     assert alone.share("a1", "a2") == 0.0 and alone.share("a1", "a1") == 0.0 and alone.share("a2", "a2") == 1.0
     assert alone.epoch == (0, 0) and plan_errors(alone, SIX) == []
-    # Half of the 7 cores that the region's other zone seems to have free, for the 10 asked; none beyond the region.
+    # Half of the 7 cores that seem free in the other zone of the region, for a demand of 10; none beyond the region.
     alone = fallback_plan(SIX, states(a1={"now": 0.0, "warm": 0.0}))
     assert alone.free["a1"] == {"a2": pytest.approx(0.35)} == alone.bound["a1"] and plan_errors(alone, SIX) == []
     short = fallback_plan(SIX, states(a1={"now": 8.0}))
     assert short.free["a1"] == {"a1": pytest.approx(0.8), "a2": pytest.approx(0.2)}
 
 
-def test_a_zone_that_comes_back_cold_gets_its_traffic_in_steps_bound_to_what_it_can_take():
+def test_a_zone_that_returns_cold_gets_its_traffic_back_in_steps_within_its_capacity():
     planner, plan, now = Planner(SIX), home_plan(SIX.zones), 0.0
     plan = planner.next(now, states(a1={"now": 0.0, "warm": 0.0}), plan)
     at_home = []
@@ -141,7 +141,7 @@
 
 @FAST
 @given(st.lists(st.tuples(st.sampled_from(SIX.zones), AMOUNT, AMOUNT), min_size=30, max_size=120))
-def test_changes_a_minute_are_bounded_under_any_input(draws):
+def test_plan_changes_per_minute_are_bounded_under_any_input(draws):
     planner, plan, changed = Planner(SIX), home_plan(SIX.zones), []
     found = states()
     for n, (zone, capacity, asked) in enumerate(draws):
@@ -157,7 +157,7 @@
         assert within <= limits.max_tokens + 60_000.0 / limits.token_interval
 
 
-def test_a_drained_zone_is_emptied_and_told_plans_that_cannot_be_are_named():
+def test_a_drained_zone_is_emptied_and_errors_of_invalid_plans_are_found():
     planner = Planner(SIX, drained=frozenset({"b1"}))
     plan = planner.next(0.0, states(), home_plan(SIX.zones))
     assert zone_loads(states(), plan)["b1"] == 0 and plan.drained == ("b1",) and "drained: b1" in plan.reason
@@ -170,19 +170,19 @@
         assert len(plan_errors(bad, SIX)) == 1
 
 
-# Decided in common
+# Consensus
 
 
-class Rig:
-    """Councils in virtual time: words take some ms; cut, stopped and restarted ones."""
+class CouncilRig:
+    """Councils in virtual time with delayed messages, partitions, pauses and restarts."""
 
-    def __init__(self, voters=5, others=3, **over):
+    def __init__(self, voters=5, follower_count=3, **over):
         self.names = tuple(f"v{n}" for n in range(voters))
         self.limits = CouncilLimits(**over)
         self.disks = {}
-        self.now, self.air, self.cut, self.still = 0.0, [], set(), set()
+        self.now, self.in_flight, self.cut, self.paused = 0.0, [], set(), set()
         self.councils = {name: self.new(name) for name in self.names}
-        self.followers = [Council(f"f{n}", self.names, limits=self.limits) for n in range(others)]
+        self.followers = [Council(f"f{n}", self.names, limits=self.limits) for n in range(follower_count)]
         self.log = []
 
     def new(self, name):
@@ -196,28 +196,32 @@
             if isinstance(effect, StoreBallot):
                 self.disks[name] = effect.ballot
             elif isinstance(effect, SendToVoter) and self.reaches(name, effect.to):
-                self.air.append((self.now + 20.0, effect.to, effect.message))
+                self.in_flight.append((self.now + 20.0, effect.to, effect.message))
 
-    def run(self, span):
-        end = self.now + span
+    def run(self, duration):
+        end = self.now + duration
         while self.now < end:
             self.now += 10.0
-            due = [item for item in self.air if item[0] <= self.now and item[1] not in self.still]
-            self.air = [item for item in self.air if item not in due]
-            for _, to, word in due:
-                if self.reaches(word.sender, to):
-                    self.do(to, self.councils[to].receive(self.now, word))
+            due = [item for item in self.in_flight if item[0] <= self.now and item[1] not in self.paused]
+            self.in_flight = [item for item in self.in_flight if item not in due]
+            for _, to, message in due:
+                if self.reaches(message.sender, to):
+                    self.do(to, self.councils[to].receive(self.now, message))
             for name, one in self.councils.items():
-                if name not in self.still:
+                if name not in self.paused:
                     self.do(name, one.tick(self.now))
             for follower in self.followers:
-                told = self.councils[self.names[int(self.now / 10) % len(self.names)]]
-                if told.name not in self.still and told.name not in self.cut and (found := told.renewal(self.now)):
+                source = self.councils[self.names[int(self.now / 10) % len(self.names)]]
+                if (
+                    source.name not in self.paused
+                    and source.name not in self.cut
+                    and (found := source.renewal(self.now))
+                ):
                     follower.learn(self.now, replace(found, age=found.age + 20.0))
             self.log.append((self.now, self.leaders()))
 
     def leaders(self):
-        return [name for name, one in self.councils.items() if one.leads(self.now) and name not in self.still]
+        return [name for name, one in self.councils.items() if one.leads(self.now) and name not in self.paused]
 
     def propose(self, reason):
         name = self.leaders()[0]
@@ -230,8 +234,8 @@
         }
 
 
-def test_one_leads_after_a_moment_and_what_it_proposes_is_followed_by_all():
-    rig = Rig()
+def test_one_leader_is_elected_and_all_follow_its_plans():
+    rig = CouncilRig()
     rig.run(6_000.0)
     assert len(rig.leaders()) == 1
     rig.propose("first")
@@ -242,8 +246,8 @@
     assert rig.in_force() == {"second"} and all(len(who) <= 1 for _, who in rig.log)
 
 
-def test_a_side_that_cannot_know_the_rest_falls_back_and_the_other_goes_on():
-    rig = Rig()
+def test_a_minority_partition_falls_back_and_the_majority_goes_on():
+    rig = CouncilRig()
     rig.run(6_000.0)
     rig.propose("first")
     rig.run(1_000.0)
@@ -260,17 +264,17 @@
     assert rig.in_force() == {"without them"} and all(len(who) <= 1 for _, who in rig.log)
 
 
-def test_a_leader_held_still_wakes_with_an_old_lease_and_changes_nothing():
-    rig = Rig()
+def test_a_leader_that_was_paused_wakes_with_an_expired_lease_and_changes_nothing():
+    rig = CouncilRig()
     rig.run(6_000.0)
     rig.propose("first")
     rig.run(1_000.0)
     leader = rig.leaders()[0]
-    rig.still = {leader}
+    rig.paused = {leader}
     rig.run(6_000.0)
     rig.propose("second")
     rig.run(1_000.0)
-    rig.still = set()
+    rig.paused = set()
     one = rig.councils[leader]
     assert one.role == "leader" and not one.leads(rig.now)
     rig.do(leader, one.propose(rig.now, Plan((0, 0), {}, {}, reason="of one that slept")))
@@ -278,20 +282,23 @@
     assert rig.in_force() == {"second"} and one.role == "follower"
 
 
-def test_all_voters_restarted_at_once_go_on_from_what_they_kept_and_a_forgetful_one_waits():
-    rig = Rig(voters=3)
+def test_voters_restarted_at_once_go_on_from_their_ballots_and_one_without_a_ballot_waits():
+    rig = CouncilRig(voters=3)
     rig.run(6_000.0)
     terms = {name: ballot.term for name, ballot in rig.disks.items()}
     rig.councils = {name: rig.new(name) for name in rig.names}
     rig.run(6_000.0)
     assert len(rig.leaders()) == 1 and rig.councils[rig.leaders()[0]].ballot.term > max(terms.values())
-    lost = Council("v0", rig.names, stored_ballot=None, limits=rig.limits)
-    lost.tick(0.0)
+    without_ballot = Council("v0", rig.names, stored_ballot=None, limits=rig.limits)
+    without_ballot.tick(0.0)
     vote = CouncilMessage("vote", "v1", 9)
-    assert lost.receive(100.0, vote) == [] and lost.receive(rig.limits.lost_ballot_wait + 1.0, vote) != []
+    assert (
+        without_ballot.receive(100.0, vote) == []
+        and without_ballot.receive(rig.limits.lost_ballot_wait + 1.0, vote) != []
+    )
 
 
-def test_what_rides_never_takes_an_epoch_back_and_two_plans_of_one_epoch_are_never_both_taken():
+def test_renewals_never_lower_the_epoch_and_only_one_plan_of_an_epoch_is_accepted():
     one = Council("f", ("v0",))
     plans = {n: Plan((2, n), {}, {}, reason=str(n)) for n in (1, 2)}
     assert one.learn(0.0, Renewal(plans[2], 1, 0.0)) and not one.learn(1.0, Renewal(plans[1], 9, 0.0))
@@ -301,17 +308,17 @@
 
 
 @pytest.mark.parametrize("more", [{}, {"asks": False, "spares": 1, "reseats": 1, "proposals": 0, "words": 10}])
-def test_in_every_order_of_words_crashes_and_waits_a_term_has_one_leader_and_an_epoch_one_plan(more):
+def test_in_every_order_of_messages_crashes_and_timeouts_a_term_has_one_leader_and_an_epoch_one_plan(more):
     found = explore(lambda: CouncilWorld(3, **more), 5)
     assert found.whole and found.states > 3_000 and found.wrong == "", found
 
 
-WALK = st.lists(st.integers(0, 10_000), max_size=45)
+PICKS = st.lists(st.integers(0, 10_000), max_size=45)
 
 
 @settings(max_examples=250, deadline=None, derandomize=True, database=None)
-@given(st.sampled_from([3, 5]), st.sampled_from([0, 2]), WALK)
-def test_long_ways_of_chance_through_elections_come_to_nothing_wrong(voters, spares, picks):
+@given(st.sampled_from([3, 5]), st.sampled_from([0, 2]), PICKS)
+def test_long_random_walks_through_elections_keep_the_invariants(voters, spares, picks):
     world = CouncilWorld(voters, words=60, spares=spares, reseats=spares * 3)
     for pick in picks:
         moves = list(world.moves())
@@ -320,36 +327,36 @@
 
 
 class VotesTwice(Council):
-    """A second vote in a term."""
+    """Gives a second vote in a term."""
 
-    def _on_vote(self, now, word):
-        if self.ballot.term == word.term:
-            self.ballot = Ballot(word.term - 1)
-        return super()._on_vote(now, word)
+    def _on_vote(self, now, message):
+        if self.ballot.term == message.term:
+            self.ballot = Ballot(message.term - 1)
+        return super()._on_vote(now, message)
 
 
-class Minority(Council):
-    """Leads with its own vote alone."""
+class LeadsWithoutMajority(Council):
+    """Becomes leader with its own vote alone."""
 
     @property
     def majority(self):
         return 1
 
 
-class SameNumber(Council):
-    """Numbers its plans no further."""
+class ReusesNumber(Council):
+    """Proposes a new plan under the number of the one before."""
 
     def propose(self, now, plan):
         before, self.plan = self.plan, None
         return super().propose(now, plan) if self.role == "leader" else [setattr(self, "plan", before)][:0]
 
 
-class Backwards(Council):
-    """Takes whatever rides last."""
+class AcceptsOlderPlan(Council):
+    """Takes over any received plan, even an older one."""
 
-    def _on_beat(self, now, word):
-        self.decided = word.plan or self.decided
-        return super()._on_beat(now, word)
+    def _on_beat(self, now, message):
+        self.decided = message.plan or self.decided
+        return super()._on_beat(now, message)
 
 
 @pytest.mark.parametrize(
@@ -357,13 +364,13 @@
     [
         (VotesTwice, True, 6, 0, 0),
         (Council, False, 7, 1, 0),
-        (Minority, True, 3, 0, 0),
-        (SameNumber, True, 6, 0, 2),
-        (Backwards, True, 7, 0, 2),
+        (LeadsWithoutMajority, True, 3, 0, 0),
+        (ReusesNumber, True, 6, 0, 2),
+        (AcceptsOlderPlan, True, 7, 0, 2),
     ],
 )
-def test_a_defect_in_deciding_is_found(kind, keeps, depth, crashes, proposals):
-    """Without the asking before: it only shortens what can be played."""
+def test_the_search_finds_a_defect_in_the_consensus(kind, keeps, depth, crashes, proposals):
+    """The pre-vote is left out: it would only limit the courses that fit into the depth."""
 
     def world(kind=kind, keeps=keeps):
         return CouncilWorld(3, kind, 12, keeps, False, crashes, proposals)
@@ -372,27 +379,27 @@
     assert found.wrong and len(found.way) <= depth, found
 
 
-# Who has a vote
+# Changes of the voters
 
 
-class Hasty(Council):
-    """Changes the set of voters again before most hold the one before."""
+class UnconfirmedChange(Council):
+    """Changes the set of voters again before a majority holds the previous one."""
 
     def change_voters(self, now, voters):
         self.agreed_epoch = self.voter_set.epoch
         return super().change_voters(now, voters)
 
 
-class Careless(Council):
-    """Votes for who knows an older set."""
+class AcceptsOlderVoterSet(Council):
+    """Votes for a candidate with an older set of voters."""
 
-    def _on_vote(self, now, word):
-        newest = max(word.voter_set.epoch, self.voter_set.epoch)
-        return super()._on_vote(now, replace(word, voter_set=replace(word.voter_set, epoch=newest)))
+    def _on_vote(self, now, message):
+        newest = max(message.voter_set.epoch, self.voter_set.epoch)
+        return super()._on_vote(now, replace(message, voter_set=replace(message.voter_set, epoch=newest)))
 
 
-class Unstated(Council):
-    """Changes the set without having stated it in its own term."""
+class SetNotRestated(Council):
+    """Changes the set without having restated it in its own term."""
 
     def _become_leader(self, now):
         held, effects = self.voter_set, super()._become_leader(now)
@@ -404,84 +411,86 @@
         ]
 
 
-def among(world, *names):
-    """All that is said between these is heard, until nothing more is said."""
+def deliver_among(world, *names):
+    """Delivers all messages between these controllers until none is left."""
     while True:
-        heard = next((n for n, (to, word) in enumerate(world.air) if to in names and word.sender in names), None)
-        if heard is None:
+        index = next((n for n, (to, message) in enumerate(world.air) if to in names and message.sender in names), None)
+        if index is None:
             return
-        world.play(("hear", heard))
-        world.air.pop(heard)
+        world.play(("hear", index))
+        world.air.pop(index)
 
 
-def two_at_once(world):
-    """Two are given a vote while nobody hears of it; then each side elects."""
+def two_changes_at_once(world):
+    """Two controllers are added as voters while no other voter receives it; then each side elects a leader."""
     world.play(("stand", "v0"))
-    among(world, "v0", "v1", "v2")
+    deliver_among(world, "v0", "v1", "v2")
     world.play(("reseat", "v0", "w0"))
     world.play(("reseat", "v0", "w1"))
-    among(world, "v0", "w0", "w1")
+    deliver_among(world, "v0", "w0", "w1")
     world.play(("stand", "w0"))
-    among(world, "v0", "w0", "w1")
+    deliver_among(world, "v0", "w0", "w1")
     world.play(("stand", "v1"))
-    among(world, "v1", "v2")
+    deliver_among(world, "v1", "v2")
 
 
-def an_old_set(world):
-    """One takes another's seat while it is cut off; it comes back and asks one that missed the last change."""
+def candidate_with_an_old_set(world):
+    """A voter that is cut off is replaced; it returns and asks a voter that missed the last change."""
     world.play(("stand", "v0"))
-    among(world, "v0", "v1", "v2")
+    deliver_among(world, "v0", "v1", "v2")
     world.play(("reseat", "v0", "w0"))
-    among(world, "v0", "v1", "w0")
+    deliver_among(world, "v0", "v1", "w0")
     world.play(("reseat", "v0", "v2"))
-    among(world, "v0", "w0")
+    deliver_among(world, "v0", "w0")
     assert set(world.councils["w0"].voters) == {"v0", "v1", "w0"} and set(world.councils["v2"].voters) == {
         "v0",
         "v1",
         "v2",
     }
     world.play(("stand", "v2"))
-    among(world, "v1", "v2")
+    deliver_among(world, "v1", "v2")
     world.play(("stand", "w0"))
-    among(world, "v0", "w0")
+    deliver_among(world, "v0", "w0")
 
 
-def a_change_begun_earlier(world):
-    """A leader begins a change that most never hold; the next begins another, heard by others; the first wakes."""
+def change_begun_by_an_earlier_leader(world):
+    """A leader begins a change that no majority holds; the next leader begins another one; then the first one wakes."""
     world.play(("stand", "v0"))
-    among(world, "v0", "v1", "v2", "v3")
+    deliver_among(world, "v0", "v1", "v2", "v3")
     world.play(("reseat", "v0", "w0"))
-    among(world, "v0", "w0")
+    deliver_among(world, "v0", "w0")
     world.play(("stand", "v1"))
-    # v3 gives its vote and hears no more of it.
-    vote = next(n for n, (to, word) in enumerate(world.air) if to == "v3" and word.sender == "v1")
+    # v3 gives its vote and receives nothing more.
+    vote = next(n for n, (to, message) in enumerate(world.air) if to == "v3" and message.sender == "v1")
     world.play(("hear", vote))
-    voted = next(n for n, (to, word) in enumerate(world.air) if to == "v1" and word.sender == "v3")
+    voted = next(n for n, (to, message) in enumerate(world.air) if to == "v1" and message.sender == "v3")
     world.play(("hear", voted))
-    among(world, "v1", "v2")
+    deliver_among(world, "v1", "v2")
     world.play(("reseat", "v1", "w1"))
-    among(world, "v1", "v2", "w1")
+    deliver_among(world, "v1", "v2", "w1")
     world.play(("stand", "v0"))
     world.play(("stand", "v0"))
-    among(world, "v0", "w0", "v3")
+    deliver_among(world, "v0", "w0", "v3")
     world.play(("stand", "v2"))
-    among(world, "v1", "v2", "w1")
+    deliver_among(world, "v1", "v2", "w1")
 
 
-SCRIPTS = [(Hasty, two_at_once, 3), (Careless, an_old_set, 3), (Unstated, a_change_begun_earlier, 4)]
+VOTER_CHANGE_SCRIPTS = [
+    (UnconfirmedChange, two_changes_at_once, 3),
+    (AcceptsOlderVoterSet, candidate_with_an_old_set, 3),
+    (SetNotRestated, change_begun_by_an_earlier_leader, 4),
+]
 
 
-@pytest.mark.parametrize(("kind", "script", "voters"), SCRIPTS)
-def test_a_defect_in_changing_who_votes_makes_two_leaders_of_a_term_and_without_it_the_same_course_does_not(
-    kind, script, voters
-):
+@pytest.mark.parametrize(("kind", "script", "voters"), VOTER_CHANGE_SCRIPTS)
+def test_a_defect_in_changing_voters_makes_two_leaders_of_a_term_and_the_sound_build_does_not(kind, script, voters):
     for build in (Council, kind):
         world = CouncilWorld(voters, build, words=200, spares=2, reseats=9, crashes=0)
         script(world)
         assert ("lead in term" in world.wrong()) is (build is kind), (build, world.wrong())
 
 
-def test_one_that_lost_its_vote_hears_of_it_on_the_way_of_plans_and_waits_for_nothing():
+def test_a_removed_voter_learns_of_it_from_a_renewal_and_has_no_timers_left():
     one, voter_set = Council("v2", ("v0", "v1", "v2")), VoterSet((3, 2), ("v0", "v1", "w0"))
     one.tick(0.0)
     assert one.is_voter and one.due() < 5_000.0
@@ -494,38 +503,40 @@
     (keep, held) = new.receive(0.0, beat)
     assert keep.ballot == Ballot(3, "v0", voter_set) and held.message.kind == "held" and new.is_voter
     assert new.receive(1.0, CouncilMessage("vote", "v1", 3, voter_set=voter_set)) == [], (
-        "its vote of that term is the leader's"
+        "its vote in that term belongs to the leader"
     )
 
 
-def test_a_voter_that_is_gone_is_replaced_by_one_where_fewest_stand_and_the_set_is_as_large_as_before():
+def test_an_absent_voter_is_replaced_from_the_zone_with_the_fewest_voters_and_the_size_is_restored():
     zones = {f"c{n}": f"{'abc'[n % 3]}{1 + n // 3 % 2}" for n in range(9)}
-    seating, voters = VoterSelection(SIX, 3, absent_after=1_000.0, change_interval=0.0), ("c0", "c1", "c2")
-    there = {name: zone for name, zone in zones.items() if name != "c2"}
-    assert seating.next(0.0, "c0", voters, there) is None and seating.next(999.0, "c0", voters, there) is None
-    more = seating.next(1_000.0, "c0", voters, there)
-    assert more == (*voters, "c5"), "of its region, which now has no voter"
-    assert seating.next(1_001.0, "c0", more, there) == ("c0", "c1", "c5")
-    assert seating.next(1_002.0, "c0", ("c0", "c1", "c5"), zones) is None, "nobody is sent away for one that is back"
-    # Back while there is one more: the one that stands closest to the others goes, never the one that leads.
-    assert seating.next(1_003.0, "c0", ("c0", "c1", "c2", "c3"), zones) == ("c0", "c1", "c2")
-    assert seating.next(1_003.0, "c3", ("c0", "c1", "c2", "c3"), zones) == ("c1", "c2", "c3")
-    nobody = VoterSelection(SIX, 3, absent_after=0.0)
-    assert nobody.next(0.0, "c0", voters, {"c0": "a1", "c1": "b1"}) is None, "nobody is there to come next"
+    selection, voters = VoterSelection(SIX, 3, absent_after=1_000.0, change_interval=0.0), ("c0", "c1", "c2")
+    present = {name: zone for name, zone in zones.items() if name != "c2"}
+    assert selection.next(0.0, "c0", voters, present) is None and selection.next(999.0, "c0", voters, present) is None
+    more = selection.next(1_000.0, "c0", voters, present)
+    assert more == (*voters, "c5"), "of the same region, which now has no voter"
+    assert selection.next(1_001.0, "c0", more, present) == ("c0", "c1", "c5")
+    assert selection.next(1_002.0, "c0", ("c0", "c1", "c5"), zones) is None, (
+        "no voter is removed when an old one returns"
+    )
+    # An absent voter returns while there is one more: the one with the most voters nearby is removed, never the leader.
+    assert selection.next(1_003.0, "c0", ("c0", "c1", "c2", "c3"), zones) == ("c0", "c1", "c2")
+    assert selection.next(1_003.0, "c3", ("c0", "c1", "c2", "c3"), zones) == ("c1", "c2", "c3")
+    no_candidates = VoterSelection(SIX, 3, absent_after=0.0)
+    assert no_candidates.next(0.0, "c0", voters, {"c0": "a1", "c1": "b1"}) is None, "no candidate is present"
 
 
 @settings(max_examples=200, deadline=None, derandomize=True, database=None)
 @given(st.integers(1, 3), st.lists(st.sets(st.integers(0, 7), min_size=1), max_size=40))
-def test_whoever_comes_and_goes_a_set_changes_by_one_name_and_keeps_its_size_and_its_leader(half, courses):
+def test_under_any_membership_the_voter_set_changes_by_one_name_and_keeps_its_size_and_leader(half, courses):
     size = 2 * half - 1
-    seating, voters = (
+    selection, voters = (
         VoterSelection(SIX, size, absent_after=100.0, change_interval=0.0),
         tuple(f"c{n}" for n in range(size)),
     )
     for n, here in enumerate(courses):
         places = {f"c{m}": SIX.zones[m % 6] for m in {*here, 0}}
-        new = seating.next(60.0 * n, "c0", voters, places)
+        new = selection.next(60.0 * n, "c0", voters, places)
         if new is not None:
             assert len(set(new) ^ set(voters)) == 1 and "c0" in new and len(new) in (size, size + 1)
-            assert not set(new) - set(voters) - set(places), "who is not there gets no vote"
+            assert not set(new) - set(voters) - set(places), "absent members get no vote"
             voters = new
--- a/tests/test_failover_sockets.py
+++ b/tests/test_failover_sockets.py
@@ -1,5 +1,5 @@
-"""Plans of zones over sockets: processes of `sprucespool serve` and of invokers in six zones of three regions, faults
-between them, judged by the plans they told and by what reached the invokers; the operators' commands."""
+"""Failover over sockets: processes of `sprucespool serve` and of invokers in six zones of three regions with injected
+faults, judged by the plans that they report and by what reached the invokers; the operators' commands."""
 
 import asyncio
 import subprocess
@@ -14,8 +14,9 @@
 
 pytestmark = pytest.mark.sockets
 
-# Bounds are generous: a machine loaded threefold shall come to the same verdict. Answers leave 400 ms early for it:
-# thirty processes a day, two days at once, were seen to answer up to 0.46 s late at a load of 12 on 8 cores.
+# Bounds are generous, so that a machine with three times its load comes to the same verdict. Answers leave 400 ms early
+# for the same reason: two days at once with thirty processes each answered up to 0.46 s late, at a load of 12 on 8
+# cores.
 HEAD = """
 lasts "{lasts}s"
 controllers 12
@@ -58,7 +59,7 @@
     "one-way": 'trouble "partition" at="4s" lasts="9s" between="a" and="b" way="there"\n',
     "flapping": "".join(f'trouble "invokers-lost" at="{at}s" lasts="1500ms" what="d2"\n' for at in (4, 7, 10)),
     "cell-lost": 'trouble "invokers-lost" at="4s" lasts="6s" what="a1-0"\n',
-    # Two of the three voters die for good, then a zone is lost.
+    # Two of the three voters are killed for good, then a zone is lost.
     "voters-lost": 'trouble "controller-kill" at="4s" what="c0"\ntrouble "controller-kill" at="20s" what="c1"\n'
     'trouble "invokers-lost" at="27s" lasts="5s" what="b2"\n',
     "clocks": 'trouble "invokers-lost" at="4s" lasts="6s" what="a1"\n'
@@ -80,14 +81,14 @@
 
 def play(folder, name):
     broken = name in BROKEN
-    # Until near traffic had all the time it may take: `rising` is over at 13 s and its zones are warm again late.
+    # Long enough for traffic to return to its own zones: `rising` ends at 13 s and its zones are warm again late.
     longer = {"rising": 44, "voters-lost": 54, "drained": 40, "dark": 52}
     lasts = 20 if name == "failover-b" else 14 if broken else longer.get(name, 34)
     path = folder / f"{name}.kdl"
     tight = 'follow-within="5s" changes=6 cap-slack=0.0 slack-cores=0.3 over-for="2s"'
     head = HEAD
     if name == "rising":
-        # Little work that is long, so that the load is the invokers' and not this machine's.
+        # Few but long inferences, so that the load is on the simulated invokers and not on this machine.
         head = head.replace("cores=3", "cores=1").replace('work="50ms"', 'work="150ms"')
     path.write_text(
         f'name "{name}"\n'
@@ -95,12 +96,12 @@
             lasts=lasts,
             liar=3 if name == "liar" else -1,
             bounds=tight if broken else 'follow-within="20s"',
-            # Views that differ while the roster is dark: seen, near traffic 8 to 17 s after it came back, on a busy
-            # machine once more than 22.
+            # Views differ while the roster is down: traffic was local again 8 to 17 s after it came back, and once on a
+            # busy machine after more than 22 s.
             near="38s" if name == "dark" else "28s",
             rate="450.0" if name == "failover-b" else "60.0",
-            # Who is held still for 5 s owes nothing by then: how soon a loaded machine wakes it is not in question
-            # here.
+            # A controller that is paused for 5 s must not owe late answers: how soon a loaded machine resumes it is not
+            # tested here.
             patience="14s" if name == "makers-held" else "2s",
         )
         + {**CASES, **BROKEN}[name]
@@ -125,14 +126,14 @@
 
 
 @pytest.mark.parametrize("which", "abcdef")
-def test_a_build_without_what_an_invariant_rests_on_is_told(days, which):
+def test_the_checker_names_the_invariant_that_a_broken_build_breaks(days, which):
     found = days[f"failover-{which}"]
     assert any(one.startswith(f"({which})") for one in found["failover"]["invariants_broken"]), found
 
 
-# The commands, on three controllers in three zones
+# The commands, with three controllers in three zones
 
-ZONED = """
+SETTINGS = """
 controller number={n} of=3 zone="{zone}" region="{region}"
 group "g" mark="m" {{ period "200ms"{seeds} }}
 fleet-view
@@ -155,14 +156,14 @@
 
 
 def three_controllers(stage, tmp_path):
-    """Controllers of three zones, one invoker each, that follow one plan."""
+    """Controllers of three zones with one invoker each, once they follow one plan."""
     zones = ["a1", "a2", "b1"]
     fleet = {zone: stage.invoker() for zone in zones}
     controllers, seeds = [], ""
     for n, zone in enumerate(zones):
         folder = tmp_path / zone
         folder.mkdir()
-        more = ZONED.format(n=n, zone=zone, region=zone[0], seeds=seeds, keep=folder / "ballot")
+        more = SETTINGS.format(n=n, zone=zone, region=zone[0], seeds=seeds, keep=folder / "ballot")
         one = stage.controller(folder, [], more)
         (folder / "invokers.kdl").write_text(
             "".join(
@@ -185,7 +186,7 @@
     return controllers
 
 
-def test_a_zone_is_told_to_be_drained_when_most_voters_have_it_in_their_plan(stage, tmp_path):
+def test_a_drained_zone_is_confirmed_once_a_majority_of_voters_has_it_in_its_plan(stage, tmp_path):
     controllers = three_controllers(stage, tmp_path)
 
     def leads(one):
@@ -194,21 +195,21 @@
     wait_until(lambda: stage.call(lambda: any(map(leads, controllers))), 20.0)
     [leader] = stage.call(lambda: [one for one in controllers if leads(one)])
     others = [one for one in controllers if one is not leader]
-    hear = {one: one.group.on_plan for one in others}
+    handlers = {one: one.group.on_plan for one in others}
 
-    def deafen():
+    def drop_plans():
         for one in others:
             one.group.on_plan = lambda data: None
 
-    def listen():
+    def restore_handlers():
         for one in others:
-            one.group.on_plan = hear[one]
+            one.group.on_plan = handlers[one]
 
-    stage.call(deafen)
+    stage.call(drop_plans)
     why = asyncio.run(drain(f"127.0.0.1:{leader.port}", "a1", True, True))
-    # Its lead ends meanwhile, or the time it waits does: nobody else may ever hear of the drain.
+    # Its lease or its wait ends meanwhile, as no other voter received the plan with the drain.
     assert why
-    stage.call(listen)
+    stage.call(restore_handlers)
 
     def drained(one):
         return one.failover.failover.follow(one.failover.now()).drained
@@ -217,16 +218,16 @@
     while why and time.monotonic() < end:
         why = asyncio.run(drain(f"127.0.0.1:{others[0].port}", "a1", True, True))
     assert not why
-    # Done: it holds though the leader that took it ends now.
+    # Once confirmed, the drain stays although the leader that confirmed it stops now.
     [leader] = stage.call(lambda: [one for one in controllers if leads(one)])
     stage.call(leader.close)
-    rest = [one for one in controllers if one is not leader]
-    wait_until(lambda: stage.call(lambda: any(map(leads, rest))), 40.0)
-    wait_until(lambda: stage.call(lambda: {drained(one) for one in rest}) == {("a1",)}, 20.0)
-    assert stage.call(lambda: {drained(one) for one in rest}) == {("a1",)}
+    remaining = [one for one in controllers if one is not leader]
+    wait_until(lambda: stage.call(lambda: any(map(leads, remaining))), 40.0)
+    wait_until(lambda: stage.call(lambda: {drained(one) for one in remaining}) == {("a1",)}, 20.0)
+    assert stage.call(lambda: {drained(one) for one in remaining}) == {("a1",)}
 
 
-def test_operators_see_the_plan_and_drain_a_zone_unless_the_rest_could_not_take_it(stage, tmp_path):
+def test_operators_see_the_plan_and_drain_a_zone_unless_the_others_could_not_take_its_load(stage, tmp_path):
     controllers = three_controllers(stage, tmp_path)
     where = [f"127.0.0.1:{one.port}" for one in controllers]
 
@@ -241,19 +242,19 @@
     assert {line.zone: line.cells for line in told.zones}["b1"] == {"b1-0": 8.0}
     same = command("zones", "--compare", *where)
     assert same.returncode == 0 and "follow the same plan" in same.stdout
-    # Asked of any; whoever leads decides.
+    # Any controller takes the command; the leader decides.
     refused = command("drain-zone", "nowhere", "--at", where[2])
     assert refused.returncode == 1 and "no zone nowhere" in refused.stdout
     for one in controllers:
         stage.call(lambda one=one: one.failover.meter.run_times.update(line=4_000.0))
 
-    def ask(count):
+    def send_arrivals(count):
         for one in controllers:
             for _ in range(count):
                 one.failover.meter.arrived(one.failover.now(), "line", False, 4_000.0)
 
-    # 6 cores a zone: two thirds of all there is, more than two zones take.
-    deadline = asyncio.run_coroutine_threadsafe(_keep(ask, 3, 30.0), stage.loop)
+    # 6 cores per zone: two thirds of all capacity, more than two zones can take.
+    arrivals = asyncio.run_coroutine_threadsafe(_repeat(send_arrivals, 3, 30.0), stage.loop)
 
     def loaded():
         return all(min(state.free for state in one.failover.states().values()) > 5.0 for one in controllers)
@@ -273,34 +274,34 @@
     assert asyncio.run(drain(where[2], "a1", False, False)) == ""
     wait_until(lambda: set(stage.call(drained)) == {()}, 30.0)
     assert set(stage.call(drained)) == {()}
-    deadline.cancel()
+    arrivals.cancel()
     assert command("zones", "127.0.0.1:1").returncode == 3
 
 
-async def _keep(ask, count, span):
-    """Arrivals as if clients had sent them, ten times a second."""
-    for _ in range(int(span * 10)):
-        ask(count)
+async def _repeat(send_arrivals, count, duration):
+    """Reports arrivals to the meters repeatedly, as if clients had sent inferences."""
+    for _ in range(int(duration * 10)):
+        send_arrivals(count)
         await asyncio.sleep(0.2)
 
 
-def test_without_the_node_no_zone_is_told_and_the_group_carries_nothing_of_plans(stage, tmp_path):
+def test_without_the_failover_setting_zones_are_not_planned_and_messages_carry_no_plan(stage, tmp_path):
     standin = stage.invoker()
     (tmp_path / "one").mkdir()
     one = stage.controller(tmp_path / "one", [standin.name], 'group "g" mark="m" { period "200ms" }\nfleet-view')
     assert one.failover is None and stage.call(one.group.ride_plan) == b"" and one.door.steers is None
 
 
-def test_a_look_that_goes_wrong_is_not_the_last(stage, tmp_path):
-    """Seen: an error in reading the own figures ended the looks for good, and the controller kept its last plan."""
-    more = ZONED.format(n=0, zone="a1", region="a", seeds="", keep=tmp_path / "ballot")
+def test_the_periodic_check_goes_on_after_an_error(stage, tmp_path):
+    """An error while reading the own metrics ended the periodic check for good, so the controller kept its old plan."""
+    more = SETTINGS.format(n=0, zone="a1", region="a", seeds="", keep=tmp_path / "ballot")
     one = stage.controller(tmp_path, [], more).failover
-    looks = []
+    checks = []
 
     def states():
-        looks.append(1)
+        checks.append(1)
         raise RuntimeError("not this time")
 
     stage.call(lambda: setattr(one, "states", states))
-    wait_until(lambda: len(looks) > 2, 20.0)
-    assert len(looks) > 2
+    wait_until(lambda: len(checks) > 2, 20.0)
+    assert len(checks) > 2
