--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -126,7 +126,7 @@
 
 
 def test_changes_beyond_noise_are_reported_and_a_few_more_arrivals_are_not():
-    meter, said = Meter("a1"), []
+    meter, report_times = Meter("a1"), []
     for n in range(3_000):
         at = 10.0 * n
         if n < 2_000 or n % 3 < 2:
@@ -134,30 +134,35 @@
         if n > 1_000:
             meter.arrived(at + 1, "g", False, 100.0)
         if meter.report_if_due(at) is not None:
-            said.append(at)
+            report_times.append(at)
     # Without those of the first seconds, while the window fills.
     moved = [
-        at for at, before in zip(said[1:], said, strict=False) if at - before < meter.max_report_interval and at > 3_000
+        at
+        for at, before in zip(report_times[1:], report_times, strict=False)
+        if at - before < meter.max_report_interval and at > 3_000
     ]
-    assert len(moved) <= 4 and any(10_000 < at < 13_000 for at in moved), said
-    assert max(later - at for at, later in zip(said, said[1:], strict=False)) <= meter.max_report_interval + 10.0
-    assert said[0] <= meter.window, "and the first report comes before any change"
+    assert len(moved) <= 4 and any(10_000 < at < 13_000 for at in moved), report_times
+    assert (
+        max(later - at for at, later in zip(report_times, report_times[1:], strict=False))
+        <= meter.max_report_interval + 10.0
+    )
+    assert report_times[0] <= meter.window, "and the first report comes before any change"
 
 
 def test_reports_from_few_arrivals_equal_the_demand_on_average():
     """Among 300 members lulls were reported at once and rushes were not, so the demand seemed 0.85 of what it was."""
     reported_sum, random_source, check_count = 0.0, random.Random(1), 0
     for _ in range(200):
-        meter, at, told = Meter("a1"), 0.0, (0.0, 0.0, 0.0, 0.0)
+        meter, at, report = Meter("a1"), 0.0, (0.0, 0.0, 0.0, 0.0)
         due = random_source.expovariate(1 / 400)
         while at < 20_000.0:
             at += 250.0
             while due < at:
                 meter.arrived(due, "g", False, 160.0)
                 due += random_source.expovariate(1 / 400)
-            told = meter.report_if_due(at) or told
+            report = meter.report_if_due(at) or report
             if at > 6_000.0:
-                reported_sum, check_count = reported_sum + told[0], check_count + 1
+                reported_sum, check_count = reported_sum + report[0], check_count + 1
     assert reported_sum / check_count == pytest.approx(0.4, rel=0.04)
 
 
@@ -203,8 +208,8 @@
     late = [LoadReport("a1", 1.0, 0.0, 0.1, 1.0, 0.2) for _ in range(4)]
     good = [LoadReport("a1", 1.0, 0.0, 0.1, 1.0, 0.9) for _ in range(4)]
 
-    def after(first, duration, told):
-        trusts = [states_of(gauge, first + 500.0 * n, told)["a1"].trust for n in range(int(duration / 500) + 1)]
+    def after(first, duration, reports):
+        trusts = [states_of(gauge, first + 500.0 * n, reports)["a1"].trust for n in range(int(duration / 500) + 1)]
         return trusts[0], trusts[-1]
 
     assert after(0.0, 0.0, ill)[1] == 0.04 and after(500.0, 30_000.0, late) == (0.04, 0.04)
@@ -318,11 +323,11 @@
     ]
 
 
-@pytest.mark.parametrize("said", sample_messages())
-def test_messages_decode_as_encoded_and_corrupt_ones_are_refused(said):
+@pytest.mark.parametrize("message", sample_messages())
+def test_messages_decode_as_encoded_and_corrupt_ones_are_refused(message):
     codec = Codec("g", "mark")
-    data = codec.encode(said)
-    assert codec.decode(data) == said
+    data = codec.encode(message)
+    assert codec.decode(data) == message
     for spoilt in (b"", data[:10], data + b"x", data[:-1], bytes([data[0] ^ 1]) + data[1:], b"\xff" * 70_000):
         with pytest.raises(PlanMessageError):
             codec.decode(spoilt)
@@ -333,9 +338,9 @@
 @given(st.binary(max_size=60))
 @FAST
 def test_a_ballot_decodes_as_encoded_and_a_truncated_one_is_refused(garbage):
-    told = Ballot(7, "c3", VoterSet((6, 2), ("c1", "c3")))
-    data = encode_ballot(told)
-    assert decode_ballot(data) == told
+    saved = Ballot(7, "c3", VoterSet((6, 2), ("c1", "c3")))
+    data = encode_ballot(saved)
+    assert decode_ballot(data) == saved
     for n in range(len(data) - 1):
         with pytest.raises(PlanMessageError):
             decode_ballot(data[:n])
@@ -348,8 +353,10 @@
     spread, renewal = Spread(), Renewal(plan_of({"a1": 1.0}), 1, 0.0)
     others = [f"127.0.0.1:{n}" for n in range(many)]
     passes = spread.distribute(0.0, renewal, others)
-    told = [one.to for one in passes] + [two.to for one in passes for two in Spread.relay(one.renewal, one.pass_on)]
-    assert sorted(told) == sorted(others) and len(passes) <= 18
+    addresses = [one.to for one in passes] + [
+        two.to for one in passes for two in Spread.relay(one.renewal, one.pass_on)
+    ]
+    assert sorted(addresses) == sorted(others) and len(passes) <= 18
     assert spread.distribute(100.0, renewal, others) == [] and (
         len(spread.distribute(2_100.0, renewal, others)) > 0
     ) is (many > 0)
@@ -464,8 +471,8 @@
 """
     path = tmp_path / "states.kdl"
 
-    def run(said):
-        path.write_text(said)
+    def run(content):
+        path.write_text(content)
         command = [sys.executable, "-m", "sprucespool.cli.main", "failover", "what-if", str(path), "--json"]
         return subprocess.run(command, capture_output=True, text=True, timeout=60)
 
