--- a/sprucespool/membership/group.py
+++ b/sprucespool/membership/group.py
@@ -109,7 +109,7 @@
         self.tally, self.suspicions, self.accuser_trust = Tally(), Suspicions(), AccuserTrust()
         self.shares = Shares(self.about.number, self.about.of, self.start, self.loan)
         self.accuser_trust.window_ms, self.accuser_trust.distrust_ms = 30 * limits.period, 60 * limits.period
-        self.now, self.started_at, self.expected = 0.0, math.nan, math.inf
+        self.now, self.started_at, self.next_due_at = 0.0, math.nan, math.inf
         self.health, self.left, self.isolated = 0, False, False
         self.last_answer_at = 0.0
         self._updates: dict[Seat, _Update] = {}
@@ -345,7 +345,7 @@
         limits, outgoing = self.limits, []
         if math.isnan(self.started_at):
             self._start_running(now)
-        late_ms = now - self.expected
+        late_ms = now - self.next_due_at
         if late_ms > 2 * limits.period:
             # After its own suspension a member must not suspect others for the messages it missed.
             self.suspicions.shift(late_ms)
@@ -387,7 +387,7 @@
             outgoing += self._repair(now)
         if now >= self._next_join:
             outgoing += self._join(now)
-        self.expected = self.due()
+        self.next_due_at = self.due()
         return outgoing
 
     def _start_running(self, now: float):
@@ -525,29 +525,29 @@
         if why:
             self._refuse(now, why, reporter)
             return False
-        same = old is not None and old.start == row.start
-        if same and row.state in (State.SUSPECT, State.DEAD) and row.liveness > old.liveness:  # type: ignore[union-attr]
+        same_process = old is not None and old.start == row.start
+        if same_process and row.state in (State.SUSPECT, State.DEAD) and row.liveness > old.liveness:  # type: ignore[union-attr]
             assert old is not None and record is not None
             if not self._is_credible(now, row, record, reporter):
                 return False
             if row.state is State.DEAD and old.present and reporter:
-                # Another member's report of a death counts only as a fully confirmed suspicion: when a partition heals,
-                # both sides report each other's members as dead, and those are alive to refute it.
+                # Another member's report of a death counts at most as a fully confirmed suspicion: when a partition
+                # heals, both sides report each other's members as dead, and those are alive to refute it.
                 row = replace(row, state=State.SUSPECT, accusers=row.accusers or (reporter,))
                 if row.seat in self.suspicions.active or row.liveness <= old.liveness:
                     self._suspect(now, row, not self._is_fast_repair())
                     if row.liveness <= old.liveness:
                         return False
-                full = not self._is_fast_repair()
+                fully_confirmed = not self._is_fast_repair()
             else:
-                full = False
+                fully_confirmed = False
         else:
-            full = False
+            fully_confirmed = False
         before, after = self.table.learn(now, row)
         if after is before or after is None:
             return False
         if after.state is State.SUSPECT:
-            self._suspect(now, after, full)
+            self._suspect(now, after, fully_confirmed)
             self.tally.suspected += before is None or before.state is not State.SUSPECT
         else:
             self.suspicions.clear(row.seat)
@@ -576,11 +576,11 @@
                 self._next_repair = min(self._next_repair, now + limits.fast_repair_every * limits.period)
             self._fast_repair_until = now + limits.fast_repair_for * limits.period
 
-    def _suspect(self, now: float, row: Row, full: bool = False):
+    def _suspect(self, now: float, row: Row, fully_confirmed: bool = False):
         # When a partition heals, both sides report many deaths at once, so each member gets more time to refute.
         min_ms = self._min_suspicion_ms() * (2 if self._is_fast_repair() else 1)
         accusers = set(row.accusers) or {"?"}
-        if full:
+        if fully_confirmed:
             accusers |= {f"?{n}" for n in range(4)}
         self.suspicions.add(
             now,
@@ -597,7 +597,7 @@
         """Own observations outrank reports: accusations of members that just sent a message count against the accuser,
         which is distrusted in the end. During fast repair (a partition just healed) old accusations are still being
         passed on and do not count."""
-        fresh = (
+        recently_received = (
             now - record.last_received_at < 2 * self.limits.period
             and record.row.state is State.ALIVE
             and not self._is_fast_repair()
@@ -607,12 +607,12 @@
             if accuser == self.name:
                 credible = True
                 continue
-            contradicted = fresh and row.state is State.SUSPECT and self._is_long_present(now, accuser)
+            contradicted = recently_received and row.state is State.SUSPECT and self._is_long_present(now, accuser)
             if contradicted and self.accuser_trust.contradicted(now, accuser, row.seat):
                 self.tally.distrusted += 1
                 self.table.event(now, "distrusted", row, (accuser,), "accuses members that were just heard from")
             credible = credible or not self.accuser_trust.distrusted(now, accuser)
-        return credible or row.state is State.DEAD and not fresh
+        return credible or row.state is State.DEAD and not recently_received
 
     def _is_long_present(self, now: float, name: str) -> bool:
         """Whether an accuser has been present for long. One that just came back reports what it saw while it was cut
@@ -683,8 +683,8 @@
     def _repair(self, now: float) -> list[Outgoing]:
         limits = self.limits
         fast = self._is_fast_repair()
-        step = limits.fast_repair_every if fast else limits.repair_every
-        self._next_repair = now + limits.period * step * (0.8 + 0.4 * self._random_below(1000) / 1000)
+        interval = limits.fast_repair_every if fast else limits.repair_every
+        self._next_repair = now + limits.period * interval * (0.8 + 0.4 * self._random_below(1000) / 1000)
         present = [seat for seat in self.table.present if seat not in self._private_suspicions]
         if not present:
             return []
@@ -702,23 +702,27 @@
                 outgoing.append(self._send(to.address, kind, (to.name, 0), number, tuple(rows[n : n + PAGE_ROWS])))
             return outgoing
         page: list[Row] = []
-        covered: list[int] = []
+        page_buckets: list[int] = []
         for bucket in buckets:
-            more = self.table.rows_in((bucket,))
-            if covered and len(page) + len(more) > PAGE_ROWS:
-                outgoing.append(self._send(to.address, kind, (to.name, 0), number, tuple(page), buckets=tuple(covered)))
-                page, covered = [], []
-            page += more
-            covered.append(bucket)
-        if covered:
-            outgoing.append(self._send(to.address, kind, (to.name, 0), number, tuple(page), buckets=tuple(covered)))
+            bucket_rows = self.table.rows_in((bucket,))
+            if page_buckets and len(page) + len(bucket_rows) > PAGE_ROWS:
+                outgoing.append(
+                    self._send(to.address, kind, (to.name, 0), number, tuple(page), buckets=tuple(page_buckets))
+                )
+                page, page_buckets = [], []
+            page += bucket_rows
+            page_buckets.append(bucket)
+        if page_buckets:
+            outgoing.append(
+                self._send(to.address, kind, (to.name, 0), number, tuple(page), buckets=tuple(page_buckets))
+            )
         return outgoing
 
     def _compare(self, message: Message) -> list[Outgoing]:
-        differ = [
+        differing_buckets = [
             n for n, (mine, theirs) in enumerate(zip(self.table.marks, message.marks, strict=False)) if mine != theirs
         ]
-        return self._pages("rows", message.sender, message.number, differ) if differ else []
+        return self._pages("rows", message.sender, message.number, differing_buckets) if differing_buckets else []
 
     def _newer_rows(self, message: Message) -> list[Outgoing]:
         """Rows in the message's buckets that are missing from the message or newer than there."""
@@ -775,18 +779,18 @@
         return outgoing
 
     def _answer_share_message(self, now: float, message: Message) -> list[Outgoing]:
-        sender, back = message.sender, (message.sender.name, message.sender.start)
+        sender, reply_to = message.sender, (message.sender.name, message.sender.start)
         number = sender.about.number
         if message.kind == "lend":
             share = self.shares.grant_loan(len(self.table.present) + 1)
-            return [self._send(sender.address, "lent", back, message.number, figure=share)] if share else []
+            return [self._send(sender.address, "lent", reply_to, message.number, figure=share)] if share else []
         if message.kind == "lent":
             self.shares.accept_loan(now, message.number, number, sender.start, message.figure)
         elif message.figure:
             self.shares.confirm_freed(now, number)
         else:
             self.shares.release(number, sender.start)
-            return [self._send(sender.address, "freed", back, message.number, figure=1.0)]
+            return [self._send(sender.address, "freed", reply_to, message.number, figure=1.0)]
         return []
 
     def _learn_sender(self, now: float, sender: Row):
@@ -810,26 +814,26 @@
         sender, kind, outgoing = message.sender, message.kind, []
         record = self.table.row(sender.seat)
         # Tells a sender that is held to be suspected, dead or replaced, so that it can refute it.
-        wrong = (
+        correction = (
             (record,)
             if record is not None
             and record != sender
             and (not record.present or record.state is State.SUSPECT or record.start > sender.start)
             else ()
         )
-        back = (sender.name, sender.start)
+        reply_to = (sender.name, sender.start)
         if kind in ("ping", "join"):
-            outgoing.append(self._send(sender.address, "ack", back, message.number, wrong))
+            outgoing.append(self._send(sender.address, "ack", reply_to, message.number, correction))
             if kind == "join":
                 outgoing += self._compare(message)
         elif kind == "ask":
             row = self.table.row(message.seat)
             if message.seat == self.me.seat:
-                outgoing.append(self._send(sender.address, "ack", back, message.number))
+                outgoing.append(self._send(sender.address, "ack", reply_to, message.number))
             elif row is not None and len(self._relayed_checks) < 256:
                 number = self._next_number()
                 self._relayed_checks[number] = _RelayedCheck(
-                    sender.address, back, message.number, message.seat, now + 0.8 * self.limits.ack_within
+                    sender.address, reply_to, message.number, message.seat, now + 0.8 * self.limits.ack_within
                 )
                 extra = (row,) if row.state is State.SUSPECT else ()
                 outgoing.append(self._send(row.address, "ping", self._by_name(message.seat), number, extra))
@@ -837,12 +841,12 @@
             outgoing += self._receive_ack(now, message)
         elif kind == "digest":
             outgoing += self._compare(message)
-            if wrong:
-                outgoing.append(self._send(sender.address, "ack", back, message.number, wrong))
+            if correction:
+                outgoing.append(self._send(sender.address, "ack", reply_to, message.number, correction))
         elif kind == "rows":
             outgoing += self._newer_rows(message)
-            if wrong:
-                outgoing.append(self._send(sender.address, "ack", back, 0, wrong))
+            if correction:
+                outgoing.append(self._send(sender.address, "ack", reply_to, 0, correction))
         elif kind == "urgent":
             # The tree has two levels: the receivers of these messages forward nothing.
             for seat in message.pass_on:
--- a/sprucespool/membership/messages.py
+++ b/sprucespool/membership/messages.py
@@ -13,7 +13,7 @@
 KINDS = ("ping", "ack", "nack", "ask", "join", "digest", "rows", "extra", "urgent", "moved", "lend", "lent", "freed")
 
 
-# Kinds of events that change which members are present, or whether they surely are.
+# Kinds of events that change which members are present, or how certain that is.
 PRESENCE_KINDS = ("joined", "left", "died", "restarted", "suspected", "cleared")
 
 
