--- a/sprucespool/cli/asking.py
+++ b/sprucespool/cli/asking.py
@@ -1,4 +1,4 @@
-"""One unary call to a running controller, for commands that show something of it."""
+"""A unary call to a running controller, and the loop that displays its views, for the operator commands."""
 
 from __future__ import annotations
 
@@ -19,44 +19,44 @@
 from sprucespool.transport.pool import FINAL_EVENTS, CallEvent, Pool
 from sprucespool.wire import platform_pb2 as platform
 
-LARGEST_ANSWER = 16 * 2**20
+MAX_REPLY_BYTES = 16 * 2**20
 Shown = TypeVar("Shown")
 
 
 class Unreachable(Exception):
-    """The controller gave no answer of use; the text says which one and why."""
+    """The controller gave no usable reply; the message names the controller and the cause."""
 
 
-async def ask(where: str, path: str, request: Any, reply: Any, within: float = 3_000.0) -> Any:
-    """The decoded reply. `within` in ms. Raises ValueError on what is no address, Unreachable."""
+async def ask(where: str, path: str, request: Any, reply_type: Any, timeout_ms: float = 3_000.0) -> Any:
+    """Returns the decoded reply. Raises ValueError if `where` is not an address, and Unreachable."""
     host, port = address(where)
-    pool = Pool(host, port, Limits(message=LARGEST_ANSWER), PoolLimits(connections=1, connect_timeout=within), 1)
-    done: asyncio.Future[CallEvent] = asyncio.get_running_loop().create_future()
-    got: list[bytes] = []
+    pool = Pool(host, port, Limits(message=MAX_REPLY_BYTES), PoolLimits(connections=1, connect_timeout=timeout_ms), 1)
+    final_event: asyncio.Future[CallEvent] = asyncio.get_running_loop().create_future()
+    replies: list[bytes] = []
 
-    def heard(event: CallEvent):
+    def on_event(event: CallEvent):
         if isinstance(event, Message):
-            got.append(event.data)
+            replies.append(event.data)
             call.consumed(event.size)
-        elif isinstance(event, FINAL_EVENTS) and not done.done():
-            done.set_result(event)
+        elif isinstance(event, FINAL_EVENTS) and not final_event.done():
+            final_event.set_result(event)
 
-    call = pool.call(path, {}, within, request.SerializeToString(), heard)
+    call = pool.call(path, {}, timeout_ms, request.SerializeToString(), on_event)
     try:
-        event = await asyncio.wait_for(done, within / 1000.0)
+        event = await asyncio.wait_for(final_event, timeout_ms / 1000.0)
     except TimeoutError:
-        raise Unreachable(f"{where}: no answer within {within:.0f} ms") from None
+        raise Unreachable(f"{where}: no reply within {timeout_ms:.0f} ms") from None
     finally:
         pool.close()
-    if isinstance(event, Answered) and event.status is Status.OK and got:
-        return reply.FromString(got[0])
+    if isinstance(event, Answered) and event.status is Status.OK and replies:
+        return reply_type.FromString(replies[0])
     if isinstance(event, Answered):
         raise Unreachable(f"{where}: {event.status.name}: {event.message}")
     raise Unreachable(f"{where}: {event}")
 
 
-async def fetched(where: str, path: str, kind: type[Shown]) -> Shown:
-    """What a controller shows of itself, as JSON in its reply. Raises Unreachable."""
+async def fetch_view(where: str, path: str, kind: type[Shown]) -> Shown:
+    """Decodes the view that a controller returns as JSON in its reply. Raises Unreachable."""
     reply = await ask(where, path, platform.ViewRequest(), platform.ViewReply)
     return msgspec.json.decode(reply.view, type=kind)
 
@@ -65,27 +65,31 @@
     fetch: Callable[[str], Awaitable[Any]],
     differences: Callable[[list[Any]], list[str]],
     table: Callable[[Any], Table],
-    same: str,
+    agreement: str,
     addresses: list[str],
     watch: bool,
     as_json: bool,
     compare: bool,
 ) -> int:
-    """The view of the first address, or in what those of all differ; again each second with `watch`. Gives the exit
-    status: 1 where those compared differ. Raises Unreachable, and ValueError on what is no address."""
+    """Prints the view of the first address, or the differences between the views of all; with `watch`, repeats this
+    every second. Returns the exit status: 1 if the compared views differ. Raises Unreachable, and ValueError if an
+    address is malformed."""
 
-    async def all_of(wanted: list[str]) -> list[Any]:
-        return list(await asyncio.gather(*(fetch(where) for where in wanted)))
+    async def fetch_all(targets: list[str]) -> list[Any]:
+        return list(await asyncio.gather(*(fetch(where) for where in targets)))
 
     while True:
-        views = asyncio.run(all_of(addresses if compare else addresses[:1]))
-        found = differences(views) if compare else []
+        views = asyncio.run(fetch_all(addresses if compare else addresses[:1]))
+        differing = differences(views) if compare else []
         if as_json:
             print(msgspec.json.encode(views if compare else views[0]).decode(), flush=True)
         elif compare:
-            print("\n".join(found) if found else f"{len(views)} controllers {same}: {views[0].digest}", flush=True)
+            print(
+                "\n".join(differing) if differing else f"{len(views)} controllers {agreement}: {views[0].digest}",
+                flush=True,
+            )
         else:
             Console(width=None if sys.stdout.isatty() else 160).print(table(views[0]))
         if not watch:
-            return int(bool(found))
+            return int(bool(differing))
         time.sleep(1.0)
--- a/sprucespool/cli/lab.py
+++ b/sprucespool/cli/lab.py
@@ -1,4 +1,4 @@
-"""`sprucespool lab`: fault search, days, sweeps in virtual time."""
+"""`sprucespool lab`: fault search, days and sweeps in virtual time."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from sprucespool.standin.script import Day
 
 
-def _span(text: str) -> range:
+def _parse_seeds(text: str) -> range:
     first, dash, last = text.partition("-")
     if not first.isdigit() or dash and not last.isdigit() or int(last or first) < int(first):
         raise ValueError(f"--seeds: expected FIRST-LAST, such as 1-100, got {text!r}")
@@ -28,43 +28,45 @@
 
 
 def run_hunt(seeds: str, build: str, most: int, workers: int, folder: Path, module: bool = False) -> int:
-    """Gives the exit status. Raises ValueError on what is no build or span, OSError."""
-    span = _span(seeds)
+    """Returns the exit status. Raises ValueError for an unknown build or a malformed range of seeds, and OSError."""
+    seed_range = _parse_seeds(seeds)
     builds, defects = (MODULE_BUILDS, MODULE_BUILDS[1:]) if module else (tuple(BUILDS), tuple(DEFECTS))
     if build not in (*builds, "all"):
         raise ValueError(f"--build: expected one of {', '.join((*builds, 'all'))}, got {build!r}")
-    found = [
-        hunt(name, span, most, workers, folder, lambda line: print(line, file=sys.stderr), module)
+    results = [
+        hunt(name, seed_range, most, workers, folder, lambda line: print(line, file=sys.stderr), module)
         for name in (defects if build == "all" else [build])
     ]
-    Console(width=140).print(_table(found))
-    return int(any(one.build == "sound" and one.small is not None for one in found))
+    Console(width=140).print(_table(results))
+    return int(any(result.build == "sound" and result.small is not None for result in results))
 
 
-def _table(found: list[Hunted]) -> Table:
-    seen = sum(one.small is not None for one in found)
-    table = Table(title=f"fault search in virtual time: {seen} of {len(found)} builds broken")
+def _table(results: list[Hunted]) -> Table:
+    broken_builds = sum(result.small is not None for result in results)
+    table = Table(title=f"fault search in virtual time: {broken_builds} of {len(results)} builds broken")
     for name in ("build", "courses", "s", "broken first", "faults, shrunk to", "written to"):
         table.add_column(name)
-    for one in found:
-        small, first = one.small, one.first
-        told = f"({small.broken[0].which}) {small.broken[0].what}"[:70] if small else "nothing"
+    for result in results:
+        small, first = result.small, result.first
+        summary = f"({small.broken[0].which}) {small.broken[0].what}"[:70] if small else "nothing"
         faults = f"{len(first.course.faults)}, {len(small.course.faults)}" if first and small else "-"
-        table.add_row(one.build, str(one.tried), f"{one.seconds:.0f}", told, faults, str(one.path or "-"))
+        table.add_row(
+            result.build, str(result.tried), f"{result.seconds:.0f}", summary, faults, str(result.path or "-")
+        )
     return table
 
 
 def run_replay(course: Course, module: bool = False) -> int:
-    """Raises ValueError on an unknown build."""
-    found = played(course, module)
-    for one in found.broken:
-        print(f"({one.which}) at {one.at / 1000:.1f} s: {one.what}")
-    print(f"{len(course.faults)} faults, build {course.build}: {len(found.broken)} broken")
-    return int(bool(found.broken))
+    """Returns the exit status. Raises ValueError for an unknown build."""
+    replayed = played(course, module)
+    for invariant in replayed.broken:
+        print(f"({invariant.which}) at {invariant.at / 1000:.1f} s: {invariant.what}")
+    print(f"{len(course.faults)} faults, build {course.build}: {len(replayed.broken)} broken")
+    return int(bool(replayed.broken))
 
 
-# What both ways of playing a day tell.
-FIGURES = (
+# The metrics that a day reports both in virtual time and over sockets.
+METRICS = (
     "taken",
     "in_slo_time",
     "late",
@@ -94,10 +96,10 @@
     save: Path | None,
     at: float,
 ) -> int:
-    """Gives the exit status. Raises ValueError on what cannot be played so, StandsStill, OSError."""
+    """Returns the exit status. Raises ValueError for a day that cannot be played this way, StandsStill and OSError."""
     if sockets and (controllers or invokers):
-        raise ValueError("--sockets: expected the script's own sizes")
-    beside = _over_sockets(day, decider) if sockets else None
+        raise ValueError("--sockets: cannot be combined with --controllers or --invokers")
+    socket_result = _over_sockets(day, decider) if sockets else None
     world = begun(
         sized(day, invokers) if invokers else day,
         DECIDERS[decider if decider in DECIDERS else "hiku"],
@@ -111,14 +113,14 @@
         write_world(world, save)
         print(f"{day.name}: stands at {at / 1000:.1f} s in {save}")
         return 0
-    return _shown(ended(world), json, beside)
+    return _print_result(ended(world), json, socket_result)
 
 
 def run_go_on(path: Path, json: bool) -> int:
-    """Raises SavedError, OSError."""
+    """Returns the exit status. Raises SavedError, OSError."""
     from sprucespool.lab.saving import load
 
-    return _shown(ended(load(path)), json, None)
+    return _print_result(ended(load(path)), json, None)
 
 
 def _over_sockets(day: Day, decider: str) -> dict:
@@ -126,33 +128,38 @@
 
     try:
         return play(msgspec.structs.replace(day), Options(decider)).as_dict()
-    except StageFailed as problem:
-        raise ValueError(f"the day was not played over sockets: {problem}") from None
+    except StageFailed as error:
+        raise ValueError(f"the day was not played over sockets: {error}") from None
 
 
-def _shown(found: Played, json: bool, beside: dict | None) -> int:
-    told = found.as_dict()
+def _print_result(result: Played, json: bool, socket_result: dict | None) -> int:
+    metrics = result.as_dict()
     if json:
-        print(msgspec.json.encode({"virtual": told, "sockets": beside} if beside else told).decode())
+        print(
+            msgspec.json.encode({"virtual": metrics, "sockets": socket_result} if socket_result else metrics).decode()
+        )
     else:
-        table = Table(title=f"{found.day} (seed {found.seed}, {found.controllers} controllers; simulated servers)")
+        table = Table(title=f"{result.day} (seed {result.seed}, {result.controllers} controllers; simulated servers)")
         table.add_column("what")
-        for name in ("virtual time", *(["sockets"] if beside else [])):
+        for name in ("virtual time", *(["sockets"] if socket_result else [])):
             table.add_column(name, justify="right")
-        for name in FIGURES:
-            table.add_row(name.replace("_", " "), *(_figure(one[name]) for one in (told, beside) if one is not None))
+        for name in METRICS:
+            table.add_row(
+                name.replace("_", " "),
+                *(_format_metric(column[name]) for column in (metrics, socket_result) if column is not None),
+            )
         Console().print(table)
-        for line in (*told["broken"], *told["invariants_broken"]):
+        for line in (*metrics["broken"], *metrics["invariants_broken"]):
             print(line)
-    return int(bool(found.broken or found.invariants or found.faults))
+    return int(bool(result.broken or result.invariants or result.faults))
 
 
-def _figure(value: float | None) -> str:
+def _format_metric(value: float | None) -> str:
     return "-" if value is None else f"{value:.3f}" if isinstance(value, float) else str(value)
 
 
 def run_sweep(plan: SweepPlan, folder: Path, workers: int) -> int:
-    """Raises ResultsError, OSError."""
+    """Returns the exit status: 1 if some run has no result. Raises ResultsError, OSError."""
     rows = run(plan, folder, workers, lambda line: print(line, file=sys.stderr, flush=True))
     failed = [row for row in rows if row.problem]
     print(
--- a/sprucespool/cli/members.py
+++ b/sprucespool/cli/members.py
@@ -1,10 +1,10 @@
-"""`sprucespool members`: the group as a running controller sees it."""
+"""`sprucespool members`: the group of controllers in the view of a running controller."""
 
 from __future__ import annotations
 
 from rich.table import Table
 
-from sprucespool.cli.asking import Unreachable, fetched, show
+from sprucespool.cli.asking import Unreachable, fetch_view, show
 from sprucespool.daemon.group import Line, View
 from sprucespool.wire import names
 
@@ -13,37 +13,37 @@
 
 async def fetch(where: str) -> View:
     """Raises Unreachable."""
-    return await fetched(where, names.MEMBERSHIP_VIEW, View)
+    return await fetch_view(where, names.MEMBERSHIP_VIEW, View)
 
 
 def differences(views: list[View]) -> list[str]:
-    """Rows in which the views differ, a line each: what each view has in its place."""
+    """One line for each member whose rows differ between the views, with the row of each view."""
 
-    def told(line: Line | None) -> str:
+    def describe(line: Line | None) -> str:
         if line is None:
             return "not there"
         suspected = f" (silent, say {', '.join(line.suspected_by)})" if line.suspected_by else ""
         return f"process {line.start}, version {line.version}, {line.phase}{suspected}"
 
     rows = [{(line.name, line.address): line for line in view.members} for view in views]
-    lines = []
-    for seat in sorted(set().union(*rows)):
-        said = [told(by_seat.get(seat)) for by_seat in rows]
-        if len(set(said)) > 1:
-            lines.append(
-                f"{seat[0]} at {seat[1]}: "
-                + "; ".join(f"{view.me}: {text}" for view, text in zip(views, said, strict=True))
+    differing = []
+    for member in sorted(set().union(*rows)):
+        descriptions = [describe(by_member.get(member)) for by_member in rows]
+        if len(set(descriptions)) > 1:
+            differing.append(
+                f"{member[0]} at {member[1]}: "
+                + "; ".join(f"{view.me}: {text}" for view, text in zip(views, descriptions, strict=True))
             )
-    return lines
+    return differing
 
 
 def _load(view: View, line: Line) -> str:
-    told = dict(zip(view.figures, line.figures, strict=False))
-    return f"{told['taken_a_second']:g}/s, owes {told['owed']:g}, cpu {told['cpu']:.0%}" if told else ""
+    metrics = dict(zip(view.figures, line.figures, strict=False))
+    return f"{metrics['taken_a_second']:g}/s, owes {metrics['owed']:g}, cpu {metrics['cpu']:.0%}" if metrics else ""
 
 
-def _facts(line: Line) -> tuple[str, ...]:
-    """The cells that members and those that are gone have in common."""
+def _common_cells(line: Line) -> tuple[str, ...]:
+    """The table cells that rows of current and of former members have in common."""
     return (
         line.region,
         line.zone,
@@ -65,13 +65,13 @@
         table.add_column(name)
     for line in sorted(view.members, key=lambda line: (line.region, line.zone, line.name)):
         table.add_row(
-            *_facts(line),
+            *_common_cells(line),
             _load(view, line),
             ", ".join(line.suspected_by),
         )
     for line in view.gone:
         table.add_row(
-            *_facts(line),
+            *_common_cells(line),
             "",
             "",
         )
@@ -79,5 +79,5 @@
 
 
 def run(addresses: list[str], watch: bool, as_json: bool, compare: bool) -> int:
-    """Raises Unreachable, and ValueError on what is no address."""
+    """Returns the exit status. Raises Unreachable, and ValueError if an address is malformed."""
     return show(fetch, differences, _table, "see the same", addresses, watch, as_json, compare)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line: one clear line and status 2 for bad input, a clean end on SIGTERM, replay to the same digest."""
+"""The command line: one error line and status 2 for bad input, clean exit on SIGTERM, replay to the same digest."""
 
 import json
 import signal
@@ -20,17 +20,17 @@
 )
 
 
-def command(*args, **over):
+def run_command(*args, **options):
     return subprocess.run(
         [sys.executable, "-m", "sprucespool.cli.main", *map(str, args)],
         capture_output=True,
         text=True,
         timeout=60,
-        **over,
+        **options,
     )
 
 
-def started(*args):
+def start_process(*args):
     process = subprocess.Popen(
         [sys.executable, "-m", "sprucespool.cli.main", *map(str, args)],
         stdout=subprocess.PIPE,
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize(
-    ("args", "text", "told"),
+    ("args", "text", "expected"),
     [
         (["check"], 'listen "127.0.0.1:0"\nlisten\n', "bad.kdl:2: listen:"),
         (["serve"], "listen 5\n", "bad.kdl:1: listen: expected str, got int"),
@@ -50,15 +50,15 @@
         (["replay"], "nonsense", "bad.kdl: the head of the record"),
     ],
 )
-def test_a_bad_file_ends_with_one_line_and_status_2(tmp_path, args, text, told):
+def test_bad_file_exits_with_one_line_and_status_2(tmp_path, args, text, expected):
     path = tmp_path / "bad.kdl"
     path.write_bytes(text if isinstance(text, bytes) else text.encode())
-    done = command(*args, path)
-    assert done.returncode == 2 and told in done.stderr and len(done.stderr.strip().splitlines()) == 1
+    result = run_command(*args, path)
+    assert result.returncode == 2 and expected in result.stderr and len(result.stderr.strip().splitlines()) == 1
 
 
 @pytest.mark.parametrize(
-    ("args", "told"),
+    ("args", "expected"),
     [
         (["check", "/nowhere/x.kdl"], "/nowhere/x.kdl: No such file"),
         (["invoker", "--listen", "10.1.1.1:80"], "expected a loopback address"),
@@ -66,19 +66,19 @@
         (["day", "days/quiet.kdl", "--decider", "oracle"], "--decider: expected one of hiku"),
     ],
 )
-def test_bad_arguments_end_with_one_line_and_status_2(args, told):
-    done = command(*args)
-    assert done.returncode == 2 and told in done.stderr and len(done.stderr.strip().splitlines()) == 1
+def test_bad_arguments_exit_with_one_line_and_status_2(args, expected):
+    result = run_command(*args)
+    assert result.returncode == 2 and expected in result.stderr and len(result.stderr.strip().splitlines()) == 1
 
 
-def test_a_controller_and_an_invoker_from_the_command_line_serve_end_and_replay(tmp_path):
-    invoker, where = started("invoker", "--load", "20ms")
-    (tmp_path / "invokers.kdl").write_text(f'invoker "{where}"\n')
+def test_controller_and_invoker_commands_serve_and_stop_and_their_record_replays(tmp_path):
+    invoker, invoker_address = start_process("invoker", "--load", "20ms")
+    (tmp_path / "invokers.kdl").write_text(f'invoker "{invoker_address}"\n')
     (tmp_path / "c.kdl").write_text(SETTINGS.format(tmp_path))
-    assert command("check", tmp_path / "c.kdl").returncode == 0
-    controller, door = started("serve", tmp_path / "c.kdl")
-    with grpc.insecure_channel(door) as line:
-        infer = line.unary_unary(names.MODEL_INFER)
+    assert run_command("check", tmp_path / "c.kdl").returncode == 0
+    controller, controller_address = start_process("serve", tmp_path / "c.kdl")
+    with grpc.insecure_channel(controller_address) as channel:
+        infer = channel.unary_unary(names.MODEL_INFER)
         for n in range(30):
             infer(request(f"m{n % 4}", f"id-{n}"), timeout=5)
         last = infer.future(request(id="last", work_ms=400.0), timeout=5)
@@ -91,23 +91,23 @@
     assert counts["taken"] == counts["returned"] == 31 and counts["failed_at_the_end"] == 0
     lines = [json.loads(line) for line in (tmp_path / "log").read_text().splitlines()]
     assert [line["end"] for line in lines if line["event"] == "inference" and line["id"] == "last"] == ["returned"]
-    first, second = command("replay", tmp_path / "inputs"), command("replay", tmp_path / "inputs")
+    first, second = run_command("replay", tmp_path / "inputs"), run_command("replay", tmp_path / "inputs")
     assert first.stdout == second.stdout and json.loads(first.stdout)["taken"] == 31
     invoker.send_signal(signal.SIGTERM)
     assert invoker.wait(10) == 0
 
 
-def test_an_address_in_use_is_told_and_a_second_signal_ends_at_once(tmp_path):
+def test_address_in_use_is_reported_and_second_sigterm_exits_at_once(tmp_path):
     (tmp_path / "invokers.kdl").write_text("")
     settings = tmp_path / "c.kdl"
     settings.write_text(SETTINGS.format(tmp_path).replace('stop-within "3s"', 'stop-within "30s"'))
-    first, door = started("serve", settings)
-    settings.write_text(settings.read_text().replace("127.0.0.1:0", door))
-    done = command("serve", settings)
-    assert done.returncode == 2 and "can't listen" in done.stderr
-    with grpc.insecure_channel(door) as line:
-        # No invoker at all: the inference is held for its part of the SLO time, then shed.
-        call = line.unary_unary(names.MODEL_INFER).future(request(), timeout=5)
+    first, controller_address = start_process("serve", settings)
+    settings.write_text(settings.read_text().replace("127.0.0.1:0", controller_address))
+    result = run_command("serve", settings)
+    assert result.returncode == 2 and "can't listen" in result.stderr
+    with grpc.insecure_channel(controller_address) as channel:
+        # Without any invoker the inference is held for its share of the SLO time, then shed.
+        call = channel.unary_unary(names.MODEL_INFER).future(request(), timeout=5)
         assert call.code() is grpc.StatusCode.RESOURCE_EXHAUSTED
     first.send_signal(signal.SIGTERM)
     first.send_signal(signal.SIGTERM)
