--- a/sprucespool/cli/main.py
+++ b/sprucespool/cli/main.py
@@ -407,7 +407,9 @@
         ),
     ] = False,
     workers: Annotated[int, typer.Option(min=1, max=256)] = 4,
-    folder: Annotated[Path, typer.Option(help="Folder for the courses that break an invariant.")] = Path("hunted"),
+    folder: Annotated[Path, typer.Option(help="Folder for the courses that break a rule or an invariant.")] = Path(
+        "hunted"
+    ),
 ) -> None:
     """Search for a course of faults that breaks an invariant; status 1 if the sound build breaks one."""
     from sprucespool.cli.lab import run_hunt
@@ -440,11 +442,13 @@
     script: Path,
     seed: Annotated[int | None, typer.Option(help="Seed to use instead of the script's.")] = None,
     controllers: Annotated[
-        int | None, typer.Option(help="Number of controllers, if not the script's.", min=1, max=1000)
+        int | None, typer.Option(help="Number of controllers, above the script's.", min=1, max=1000)
     ] = None,
     invokers: Annotated[
         int | None,
-        typer.Option(help="Number of invokers, if not the script's; the traffic is scaled with it.", min=1, max=1000),
+        typer.Option(
+            help="Number of invokers, if not the script's; traffic and library scale with it.", min=1, max=1000
+        ),
     ] = None,
     decider: str = "hiku",
     json: Annotated[bool, typer.Option("--json", help="Print one JSON object.")] = False,
