--- a/sprucespool/judge/__init__.py
+++ b/sprucespool/judge/__init__.py
@@ -1,4 +1,4 @@
-"""The five rules as slow plain checks over what was seen on sockets by stand-ins and clients, never by a controller."""
+"""The five rules as simple checks over what stand-ins and clients observed on sockets, never a controller."""
 
 from sprucespool.judge.rules import BrokenRule, RuleFacts, judge
 from sprucespool.judge.score import Table, score
--- a/sprucespool/judge/failover.py
+++ b/sprucespool/judge/failover.py
@@ -1,16 +1,17 @@
-"""Invariants of failover, held against the plans that controllers told and against what reached the invokers.
+"""Checks the invariants of failover over the plans that controllers reported and what reached the invokers.
 
-A slow plain checker over a recorded history. It imports nothing of what keeps the invariants.
+A simple, unoptimised checker over a recorded history. It imports nothing from the code that maintains the invariants.
 
-(a) an epoch has one plan, whoever tells it, and no process goes back to an earlier epoch;
-(b) no zone gets more than its cap and `cap_slack` for longer than `over_for`, summed over all that follow a plan, as
-    seen at the invokers (who knows of none goes by the safe one, which has no caps);
-(c) while nothing is wrong less than `crossings` of the forwards leave their zone;
-(d) what must stay in its region never leaves it;
+(a) an epoch has one plan, whichever controller reports it, and no process returns to an earlier epoch;
+(b) no zone receives more than its cap plus `cap_slack` for longer than `over_for`, summed over all controllers that
+    follow a plan, as observed at the invokers (a controller without a plan uses the safe plan, which has no caps);
+(c) without faults, a share of less than `crossings` of the forwards leaves its zone;
+(d) traffic that is bound to its region never leaves it;
 (e) no more than `changes` plans come into force within any minute;
-(f) after the last fault all follow one plan within `follow_within`, and near traffic is back to `near_again` within
-    `near_within`;
-(g) who is cut off from most voters for longer than `unrenewed` follows no plan: it hears of no renewal.
+(f) after the last fault all follow one plan within `follow_within`, and the share of traffic that stays in its zone is
+    back to `near_again` within `near_within`;
+(g) a controller that is cut off from the majority of voters for longer than `unrenewed` follows no plan, since it
+    receives no renewal.
 """
 
 from __future__ import annotations
@@ -23,12 +24,12 @@
 
 from sprucespool.judge.group import BrokenInvariant
 
-WINDOW = 2_000.0
+WINDOW_MS = 2_000.0
 NONE = (0, 0)
 
 
 class PlanView(msgspec.Struct):
-    """What process `start` of `by` told at `t` ms that it follows; `plan` stands for all of its shares."""
+    """The plan that process `start` of `by` reported at `t` ms as followed; `plan` identifies all of its shares."""
 
     t: float
     by: str
@@ -39,7 +40,8 @@
 
 
 class Reached(msgspec.Struct):
-    """A forward of a controller in `zone` reached an invoker in `to`; `work` in ms of a core."""
+    """A forward of a controller in `zone` reached an invoker in zone `to`; `work` in ms of a core. `bound`: it must
+    stay in its region; `again`: it is not the first forward of its inference."""
 
     t: float
     by: str
@@ -52,7 +54,8 @@
 
 @dataclass(slots=True)
 class FailoverBounds:
-    """Times in ms; `regions` of each zone; nothing is wrong from `calm_from` to `calm_until`."""
+    """Limits of the invariants; times in ms. `regions` gives the region of each zone. No fault is active from
+    `calm_from` to `calm_until`."""
 
     regions: dict[str, str] = field(default_factory=dict)
     calm_from: float = 0.0
@@ -67,15 +70,16 @@
     follow_within: float = 10_000.0
     near_again: float = 0.95
     near_within: float = 30_000.0
-    # Names that reach fewer than most voters, from when until when; what a plan lasts unrenewed, and how long word of
-    # the last renewal may go round among them.
+    # Names that reach less than a majority of the voters, from when and until when. `unrenewed` is how long a plan
+    # lasts without renewal, plus how long a report of the last renewal may circulate among them.
     cut_off: list[tuple[frozenset[str], float, float]] = field(default_factory=list)
     unrenewed: float = 10_500.0
 
 
 @dataclass(slots=True)
 class FailoverVerdict:
-    """`settled`: ms from the last fault until all followed one plan; `near`: until near traffic was back."""
+    """`settled`: ms from the last fault until all followed one plan; `near`: until the share of traffic that stays in
+    its zone had recovered."""
 
     broken: list[BrokenInvariant]
     settled: float | None = None
@@ -87,34 +91,36 @@
 
 
 def check(views: Iterable[PlanView], reached: Iterable[Reached], bounds: FailoverBounds, end: float) -> FailoverVerdict:
-    """`end`: when the watching ended."""
-    seen, came = sorted(views, key=lambda one: one.t), sorted(reached, key=lambda one: one.t)
-    found = FailoverVerdict([], views=len(seen))
-    firsts = [one for one in came if not one.again]
-    far = sum(one.zone != one.to for one in firsts)
-    found.crossed = far / len(firsts) if firsts else 0.0
-    _one_plan(seen, found)
-    _caps(seen, came, bounds, found)
-    _calm(firsts, bounds, found)
-    for one in came:
-        if one.bound and bounds.regions.get(one.zone) != bounds.regions.get(one.to):
-            found.broken.append(
+    """Checks all invariants. `end`: when the observation ended."""
+    sorted_views, arrivals = sorted(views, key=lambda view: view.t), sorted(reached, key=lambda arrival: arrival.t)
+    verdict = FailoverVerdict([], views=len(sorted_views))
+    first_forwards = [arrival for arrival in arrivals if not arrival.again]
+    crossings = sum(arrival.zone != arrival.to for arrival in first_forwards)
+    verdict.crossed = crossings / len(first_forwards) if first_forwards else 0.0
+    _check_epochs(sorted_views, verdict)
+    _check_caps(sorted_views, arrivals, bounds, verdict)
+    _check_calm_crossings(first_forwards, bounds, verdict)
+    for arrival in arrivals:
+        if arrival.bound and bounds.regions.get(arrival.zone) != bounds.regions.get(arrival.to):
+            verdict.broken.append(
                 BrokenInvariant(
-                    "d", one.t, f"what must stay in its region came from {one.by} in {one.zone} to {one.to}"
+                    "d",
+                    arrival.t,
+                    f"traffic bound to its region came from {arrival.by} in {arrival.zone} to {arrival.to}",
                 )
             )
-    _changes(seen, bounds, found)
-    _settles(seen, firsts, bounds, end, found)
-    _unrenewed(seen, bounds, found)
-    found.broken.sort(key=lambda one: one.at)
-    return found
+    _check_plan_changes(sorted_views, bounds, verdict)
+    _check_recovery(sorted_views, first_forwards, bounds, end, verdict)
+    _check_cut_off(sorted_views, bounds, verdict)
+    verdict.broken.sort(key=lambda violation: violation.at)
+    return verdict
 
 
-def _unrenewed(seen: list[PlanView], bounds: FailoverBounds, found: FailoverVerdict):
+def _check_cut_off(views: list[PlanView], bounds: FailoverBounds, verdict: FailoverVerdict):
     for names, since, until in bounds.cut_off:
-        for view in seen:
+        for view in views:
             if view.by in names and since + bounds.unrenewed < view.t < until and view.epoch != NONE:
-                found.broken.append(
+                verdict.broken.append(
                     BrokenInvariant(
                         "g",
                         view.t,
@@ -123,142 +129,159 @@
                 )
 
 
-def _one_plan(seen: list[PlanView], found: FailoverVerdict):
+def _check_epochs(views: list[PlanView], verdict: FailoverVerdict):
     plans: dict[tuple[int, int], str] = {}
     newest: dict[tuple[str, int], tuple[int, int]] = {}
-    for view in seen:
+    for view in views:
         if view.epoch == NONE:
             continue
         if plans.setdefault(view.epoch, view.plan) != view.plan:
-            found.broken.append(BrokenInvariant("a", view.t, f"{view.by} tells another plan of epoch {view.epoch}"))
+            verdict.broken.append(
+                BrokenInvariant("a", view.t, f"{view.by} reports another plan for epoch {view.epoch}")
+            )
         before = newest.get((view.by, view.start), NONE)
         if view.epoch < before:
-            found.broken.append(BrokenInvariant("a", view.t, f"{view.by} went from epoch {before} to {view.epoch}"))
+            verdict.broken.append(
+                BrokenInvariant("a", view.t, f"{view.by} went back from epoch {before} to {view.epoch}")
+            )
         newest[view.by, view.start] = view.epoch
-    found.plans = len(plans)
+    verdict.plans = len(plans)
 
 
-def _caps(seen: list[PlanView], came: list[Reached], bounds: FailoverBounds, found: FailoverVerdict):
-    """Whoever tells the newest epoch at a moment tells the caps that hold then."""
+def _check_caps(views: list[PlanView], arrivals: list[Reached], bounds: FailoverBounds, verdict: FailoverVerdict):
+    """The caps in force at a time are those of the newest epoch that any controller has reported by then."""
     caps: list[tuple[float, dict[str, float]]] = []
     newest = NONE
-    told: dict[str, list[PlanView]] = {}
-    for view in seen:
-        told.setdefault(view.by, []).append(view)
+    views_of: dict[str, list[PlanView]] = {}
+    for view in views:
+        views_of.setdefault(view.by, []).append(view)
         if view.epoch > newest and view.caps:
             newest = view.epoch
             caps.append((view.t, view.caps))
-    looked = dict.fromkeys(told, 0)
+    views_passed = dict.fromkeys(views_of, 0)
     recent: dict[str, deque[tuple[float, float]]] = {}
     sums: dict[str, float] = {}
     over_since: dict[str, float] = {}
-    at = 0
-    for one in came:
-        while at < len(caps) and caps[at][0] <= one.t:
-            at += 1
-        its = told.get(one.by, [])
-        while one.by in looked and looked[one.by] < len(its) and its[looked[one.by]].t <= one.t:
-            looked[one.by] += 1
-        if not at or one.to not in caps[at - 1][1] or not looked.get(one.by) or its[looked[one.by] - 1].epoch == NONE:
+    cap_position = 0
+    for arrival in arrivals:
+        while cap_position < len(caps) and caps[cap_position][0] <= arrival.t:
+            cap_position += 1
+        own_views = views_of.get(arrival.by, [])
+        while (
+            arrival.by in views_passed
+            and views_passed[arrival.by] < len(own_views)
+            and own_views[views_passed[arrival.by]].t <= arrival.t
+        ):
+            views_passed[arrival.by] += 1
+        if (
+            not cap_position
+            or arrival.to not in caps[cap_position - 1][1]
+            or not views_passed.get(arrival.by)
+            or own_views[views_passed[arrival.by] - 1].epoch == NONE
+        ):
             continue
-        kept = recent.setdefault(one.to, deque())
-        kept.append((one.t, one.work))
-        sums[one.to] = sums.get(one.to, 0.0) + one.work
-        while kept[0][0] < one.t - WINDOW:
-            sums[one.to] -= kept.popleft()[1]
-        cap = caps[at - 1][1][one.to]
-        if sums[one.to] / WINDOW <= cap * (1 + bounds.cap_slack) + bounds.slack_cores:
-            over_since.pop(one.to, None)
-        elif one.t - over_since.setdefault(one.to, one.t) > bounds.over_for:
-            found.broken.append(
+        window = recent.setdefault(arrival.to, deque())
+        window.append((arrival.t, arrival.work))
+        sums[arrival.to] = sums.get(arrival.to, 0.0) + arrival.work
+        while window[0][0] < arrival.t - WINDOW_MS:
+            sums[arrival.to] -= window.popleft()[1]
+        cap = caps[cap_position - 1][1][arrival.to]
+        if sums[arrival.to] / WINDOW_MS <= cap * (1 + bounds.cap_slack) + bounds.slack_cores:
+            over_since.pop(arrival.to, None)
+        elif arrival.t - over_since.setdefault(arrival.to, arrival.t) > bounds.over_for:
+            verdict.broken.append(
                 BrokenInvariant(
                     "b",
-                    one.t,
-                    f"zone {one.to} gets {sums[one.to] / WINDOW:.1f} cores since "
-                    f"{(one.t - over_since.pop(one.to)) / 1000:.1f} s, its cap is {cap:.1f}",
+                    arrival.t,
+                    f"zone {arrival.to} gets {sums[arrival.to] / WINDOW_MS:.1f} cores since "
+                    f"{(arrival.t - over_since.pop(arrival.to)) / 1000:.1f} s, its cap is {cap:.1f}",
                 )
             )
 
 
-def _calm(firsts: list[Reached], bounds: FailoverBounds, found: FailoverVerdict):
-    calm = [one for one in firsts if bounds.calm_from <= one.t < bounds.calm_until]
+def _check_calm_crossings(first_forwards: list[Reached], bounds: FailoverBounds, verdict: FailoverVerdict):
+    calm = [arrival for arrival in first_forwards if bounds.calm_from <= arrival.t < bounds.calm_until]
     if not calm:
         return
-    found.calm_crossed = sum(one.zone != one.to for one in calm) / len(calm)
-    if found.calm_crossed >= bounds.crossings:
-        found.broken.append(
+    verdict.calm_crossed = sum(arrival.zone != arrival.to for arrival in calm) / len(calm)
+    if verdict.calm_crossed >= bounds.crossings:
+        verdict.broken.append(
             BrokenInvariant(
                 "c",
                 bounds.calm_until,
-                f"{found.calm_crossed:.1%} of the forwards left their zone while nothing was wrong",
+                f"{verdict.calm_crossed:.1%} of the forwards left their zone without any fault",
             )
         )
 
 
-def _changes(seen: list[PlanView], bounds: FailoverBounds, found: FailoverVerdict):
-    first: dict[tuple[int, int], float] = {}
-    for view in seen:
+def _check_plan_changes(views: list[PlanView], bounds: FailoverBounds, verdict: FailoverVerdict):
+    first_reported_at: dict[tuple[int, int], float] = {}
+    for view in views:
         if view.epoch != NONE:
-            first.setdefault(view.epoch, view.t)
+            first_reported_at.setdefault(view.epoch, view.t)
     minute: deque[float] = deque()
-    for at in sorted(first.values()):
-        minute.append(at)
-        while minute[0] < at - 60_000.0:
+    for reported_at in sorted(first_reported_at.values()):
+        minute.append(reported_at)
+        while minute[0] < reported_at - 60_000.0:
             minute.popleft()
         if len(minute) > bounds.changes:
-            found.broken.append(BrokenInvariant("e", at, f"{len(minute)} plans came into force within a minute"))
+            verdict.broken.append(
+                BrokenInvariant("e", reported_at, f"{len(minute)} plans came into force within a minute")
+            )
             return
 
 
-def _settles(seen: list[PlanView], firsts: list[Reached], bounds: FailoverBounds, end: float, found: FailoverVerdict):
-    newest: dict[str, tuple[int, int]] = {}
-    since: float | None = None
-    for view in seen:
+def _check_recovery(
+    views: list[PlanView], first_forwards: list[Reached], bounds: FailoverBounds, end: float, verdict: FailoverVerdict
+):
+    epochs: dict[str, tuple[int, int]] = {}
+    same_since: float | None = None
+    for view in views:
         if view.t < bounds.last_fault or view.by not in bounds.live:
             continue
-        before = newest.get(view.by)
-        newest[view.by] = view.epoch
-        same = set(newest) == bounds.live and len(set(newest.values())) == 1 and view.epoch != NONE
-        # A change that all follow again within a moment is none of those that part them.
-        if same:
-            since = view.t if since is None else since
-        elif before is not None and view.epoch == NONE or set(newest) != bounds.live:
-            since = None
-    found.settled = None if since is None else since - bounds.last_fault
+        previous = epochs.get(view.by)
+        epochs[view.by] = view.epoch
+        all_same = set(epochs) == bounds.live and len(set(epochs.values())) == 1 and view.epoch != NONE
+        # A change of plan alone does not reset the time, as all controllers follow the new plan soon after.
+        if all_same:
+            same_since = view.t if same_since is None else same_since
+        elif previous is not None and view.epoch == NONE or set(epochs) != bounds.live:
+            same_since = None
+    verdict.settled = None if same_since is None else same_since - bounds.last_fault
     if (
         bounds.live
         and end - bounds.last_fault >= bounds.follow_within
-        and (found.settled is None or found.settled > bounds.follow_within)
+        and (verdict.settled is None or verdict.settled > bounds.follow_within)
     ):
-        when = "never" if found.settled is None else f"after {found.settled:.0f} ms"
-        found.broken.append(
+        when = "never" if verdict.settled is None else f"after {verdict.settled:.0f} ms"
+        verdict.broken.append(
             BrokenInvariant(
-                "f", end, f"{len(bounds.live)} controllers followed one plan {when}: {sorted(set(newest.values()))}"
+                "f", end, f"{len(bounds.live)} controllers followed one plan {when}: {sorted(set(epochs.values()))}"
             )
         )
-    after = [one for one in firsts if one.t >= bounds.last_fault]
-    left, left_near = len(after), sum(one.zone == one.to for one in after)
-    kept: deque[Reached] = deque()
+    later = [arrival for arrival in first_forwards if arrival.t >= bounds.last_fault]
+    remaining, remaining_near = len(later), sum(arrival.zone == arrival.to for arrival in later)
+    window: deque[Reached] = deque()
     near = 0
-    for one in after:
-        kept.append(one)
-        near += one.zone == one.to
-        left -= 1
-        left_near -= one.zone == one.to
-        while kept[0].t < one.t - WINDOW:
-            near -= kept[0].zone == kept.popleft().to
-        # Back for good: what goes far for a moment later, of all that still comes, is little.
+    for arrival in later:
+        window.append(arrival)
+        near += arrival.zone == arrival.to
+        remaining -= 1
+        remaining_near -= arrival.zone == arrival.to
+        while window[0].t < arrival.t - WINDOW_MS:
+            near -= window[0].zone == window.popleft().to
+        # Recovered for good: of all later traffic, only a small share leaves its zone.
         if (
-            one.t - bounds.last_fault >= WINDOW
-            and near / len(kept) >= bounds.near_again
-            and left_near >= bounds.near_again * left
+            arrival.t - bounds.last_fault >= WINDOW_MS
+            and near / len(window) >= bounds.near_again
+            and remaining_near >= bounds.near_again * remaining
         ):
-            found.near = one.t - bounds.last_fault
+            verdict.near = arrival.t - bounds.last_fault
             break
     if (
-        after
+        later
         and end - bounds.last_fault >= bounds.near_within
-        and (found.near is None or found.near > bounds.near_within)
+        and (verdict.near is None or verdict.near > bounds.near_within)
     ):
-        when = "not" if found.near is None else f"{found.near / 1000:.1f} s after"
-        found.broken.append(BrokenInvariant("f", end, f"near traffic was {when} back to {bounds.near_again:.0%}"))
+        when = "not" if verdict.near is None else f"{verdict.near / 1000:.1f} s after"
+        verdict.broken.append(BrokenInvariant("f", end, f"near traffic was {when} back to {bounds.near_again:.0%}"))
--- a/sprucespool/judge/fleet.py
+++ b/sprucespool/judge/fleet.py
@@ -1,13 +1,13 @@
-"""Invariants of the fleet's view in common, held against what controllers told and what reached the invokers.
+"""Checks the invariants of the shared fleet view over what controllers reported and what reached the invokers.
 
-A slow plain checker over a recorded history. It imports nothing of what keeps the invariants.
+A simple, unoptimised checker over a recorded history. It imports nothing from the code that maintains the invariants.
 
 (a) after the last fault or change all live controllers' digests of the fleet are equal within `alike_within`;
-(b) nothing reaches a process later than the grace and `spread_within` after any controller that could be heard was told
-    that it drains or is gone;
-(c) no controller holds a process in service or draining beyond `replaced_within` after one it could hear was told of a
-    later process in its place;
-(d) with a liar in the group service falls by no more than `liar_costs` (`loss`).
+(b) nothing reaches a process later than `grace` plus `spread_within` after any reachable controller was informed that
+    it is draining or gone;
+(c) no controller lists a process as in service or draining for longer than `replaced_within` after a controller that
+    it could reach was informed of a later process at the same address;
+(d) with a lying member in the group, service falls by no more than `liar_costs` (see `loss`).
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class FleetView(msgspec.Struct):
-    """What `by` told at `t` ms: rows of (address, boot, in service, draining or gone)."""
+    """The view that `by` reported at `t` ms: rows of address, boot, and status (in service, draining or gone)."""
 
     t: float
     by: str
@@ -30,7 +30,7 @@
 
 
 class WasTold(msgspec.Struct):
-    """A roster, or the invoker itself, told controller `by` so at `t`."""
+    """A roster, or the invoker itself, informed controller `by` of the status at `t`."""
 
     t: float
     by: str
@@ -40,7 +40,7 @@
 
 
 class Reached(msgspec.Struct):
-    """A forward or order of `by` reached a process at `t`."""
+    """A forward or order of controller `by` reached a process at `t`."""
 
     t: float
     by: str
@@ -50,6 +50,8 @@
 
 
 class Born(msgspec.Struct):
+    """An invoker process started."""
+
     t: float
     address: str
     boot: str
@@ -60,7 +62,7 @@
 
 @dataclass(slots=True)
 class FleetBounds:
-    """In ms; `slack` for what lies between two processes' sockets."""
+    """Limits of the invariants; times in ms. `slack` allows for the delay between the sockets of two processes."""
 
     alike_within: float = 5_000.0
     grace: float = 2_000.0
@@ -68,14 +70,15 @@
     replaced_within: float = 5_000.0
     slack: float = 250.0
     liar_costs: float = 0.1
-    # What these hold and do is nobody's fault but theirs.
+    # Lying members: their own views and forwards are not checked.
     liars: frozenset[str] = frozenset()
 
 
 @dataclass(slots=True)
 class FleetVerdict:
-    """`settled`: ms from the last fault or change to equal digests. `late`: what reached a process that was over for a
-    controller in reach, by ms since that was told. `told`: ms until the last controller knew, by fact."""
+    """`settled`: ms from the last fault or change until digests were equal. `late`: for each arrival at a process that
+    a reachable controller knew to be draining or gone, ms since that controller was informed. `told`: for each process
+    that ended, ms until the last controller knew."""
 
     broken: list[BrokenInvariant]
     settled: float | None = None
@@ -84,140 +87,157 @@
     views: int = 0
 
 
-def check(happened: Iterable[Happened], bounds: FleetBounds, end: float) -> FleetVerdict:
-    """`end`: when the watching ended."""
-    every = sorted(happened, key=lambda one: one.t)
-    history = read(one for one in every if isinstance(one, Began | Ended | Faulted))
-    views = [one for one in every if isinstance(one, FleetView)]
-    told = [one for one in every if isinstance(one, WasTold)]
-    found = FleetVerdict([], views=len(views))
-    _alike(history, views, told, bounds, end, found)
-    _late(history, told, [one for one in every if isinstance(one, Reached)], bounds, found)
-    _outlived(history, views, told, [one for one in every if isinstance(one, Born)], bounds, found)
-    _spread(views, told, found)
-    found.broken.sort(key=lambda one: one.at)
-    return found
+def check(events: Iterable[Happened], bounds: FleetBounds, end: float) -> FleetVerdict:
+    """Checks all invariants but (d). `end`: when the observation ended."""
+    sorted_events = sorted(events, key=lambda event: event.t)
+    history = read(event for event in sorted_events if isinstance(event, Began | Ended | Faulted))
+    views = [event for event in sorted_events if isinstance(event, FleetView)]
+    reports = [event for event in sorted_events if isinstance(event, WasTold)]
+    verdict = FleetVerdict([], views=len(views))
+    _check_digests(history, views, reports, bounds, end, verdict)
+    _check_late_arrivals(
+        history, reports, [event for event in sorted_events if isinstance(event, Reached)], bounds, verdict
+    )
+    _check_replaced(
+        history, views, reports, [event for event in sorted_events if isinstance(event, Born)], bounds, verdict
+    )
+    _measure_spread(views, reports, verdict)
+    verdict.broken.sort(key=lambda violation: violation.at)
+    return verdict
 
 
 def _live(history: History) -> set[str]:
-    return {life.name for life in history.lives if life.ended == float("inf") and life.left == float("inf")}
+    return {
+        lifetime.name for lifetime in history.lives if lifetime.ended == float("inf") and lifetime.left == float("inf")
+    }
 
 
-def _alike(
-    history: History, views: list[FleetView], told: list[WasTold], bounds: FleetBounds, end: float, found: FleetVerdict
+def _check_digests(
+    history: History,
+    views: list[FleetView],
+    reports: list[WasTold],
+    bounds: FleetBounds,
+    end: float,
+    verdict: FleetVerdict,
 ):
     if history.faults and (history.faults[-1].sides or history.faults[-1].held or history.faults[-1].uneven):
         return
-    last = max(last_fault(history), max((one.t for one in told), default=0.0))
+    last_change_at = max(last_fault(history), max((report.t for report in reports), default=0.0))
     live = _live(history) - bounds.liars
-    newest: dict[str, str] = {}
-    since: float | None = None
+    digests: dict[str, str] = {}
+    same_since: float | None = None
     for view in views:
-        if view.t < last or view.by not in live:
+        if view.t < last_change_at or view.by not in live:
             continue
-        newest[view.by] = view.digest
-        same = set(newest) == live and len(set(newest.values())) == 1
-        since = (since if since is not None else view.t) if same else None
-    found.settled = since - last if since is not None else None
-    if end - last >= bounds.alike_within and (found.settled is None or found.settled > bounds.alike_within):
-        when = "never" if found.settled is None else f"after {found.settled:.0f} ms"
-        found.broken.append(
+        digests[view.by] = view.digest
+        all_same = set(digests) == live and len(set(digests.values())) == 1
+        same_since = (same_since if same_since is not None else view.t) if all_same else None
+    verdict.settled = same_since - last_change_at if same_since is not None else None
+    if end - last_change_at >= bounds.alike_within and (
+        verdict.settled is None or verdict.settled > bounds.alike_within
+    ):
+        when = "never" if verdict.settled is None else f"after {verdict.settled:.0f} ms"
+        verdict.broken.append(
             BrokenInvariant(
                 "a",
                 end,
-                f"{len(live)} controllers held the same of the fleet {when}, "
-                f"{len(set(newest.values()))} digests at the end",
+                f"{len(live)} controllers held the same fleet view {when}, "
+                f"{len(set(digests.values()))} digests at the end",
             )
         )
 
 
-def _ends(told: list[WasTold]) -> dict[tuple[str, str], list[WasTold]]:
-    found: dict[tuple[str, str], list[WasTold]] = {}
-    for one in told:
-        if one.boot and one.status in ("draining", "gone"):
-            found.setdefault((one.address, one.boot), []).append(one)
-    return found
+def _end_reports(reports: list[WasTold]) -> dict[tuple[str, str], list[WasTold]]:
+    by_process: dict[tuple[str, str], list[WasTold]] = {}
+    for report in reports:
+        if report.boot and report.status in ("draining", "gone"):
+            by_process.setdefault((report.address, report.boot), []).append(report)
+    return by_process
 
 
-def _late(history: History, told: list[WasTold], reached: list[Reached], bounds: FleetBounds, found: FleetVerdict):
-    ends = _ends(told)
-    for one in reached:
-        if one.by in bounds.liars:
+def _check_late_arrivals(
+    history: History, reports: list[WasTold], reached: list[Reached], bounds: FleetBounds, verdict: FleetVerdict
+):
+    end_reports = _end_reports(reports)
+    for arrival in reached:
+        if arrival.by in bounds.liars:
             continue
-        for fact in ends.get((one.address, one.boot), ()):
-            after = one.t - fact.t
-            if after <= bounds.grace + bounds.slack:
-                break  # they are in the order of time: later ones are later still
-            if fact.by != one.by and not history.reach(fact.by, one.by, fact.t, one.t):
+        for report in end_reports.get((arrival.address, arrival.boot), ()):
+            delay_ms = arrival.t - report.t
+            if delay_ms <= bounds.grace + bounds.slack:
+                break  # reports are in order of time: the time since later ones is shorter still
+            if report.by != arrival.by and not history.reach(report.by, arrival.by, report.t, arrival.t):
                 continue
             if not any(
-                life.name == fact.by and life.begun <= fact.t and min(life.ended, life.left) > fact.t + 1_000.0
-                for life in history.lives
+                lifetime.name == report.by
+                and lifetime.begun <= report.t
+                and min(lifetime.ended, lifetime.left) > report.t + 1_000.0
+                for lifetime in history.lives
             ):
                 continue
-            found.late.append(after)
-            if after > bounds.grace + bounds.spread_within + bounds.slack:
-                found.broken.append(
+            verdict.late.append(delay_ms)
+            if delay_ms > bounds.grace + bounds.spread_within + bounds.slack:
+                verdict.broken.append(
                     BrokenInvariant(
                         "b",
-                        one.t,
-                        f"a {one.what} of {one.by} reached {one.address} {one.boot}, {fact.status} for "
-                        f"{fact.by} since {after / 1000:.1f} s",
+                        arrival.t,
+                        f"a {arrival.what} of {arrival.by} reached {arrival.address} {arrival.boot}, {report.status} "
+                        f"for {report.by} since {delay_ms / 1000:.1f} s",
                     )
                 )
             break
 
 
-def _outlived(
+def _check_replaced(
     history: History,
     views: list[FleetView],
-    told: list[WasTold],
-    born: list[Born],
+    reports: list[WasTold],
+    births: list[Born],
     bounds: FleetBounds,
-    found: FleetVerdict,
+    verdict: FleetVerdict,
 ):
-    order: dict[str, list[str]] = {}
-    for birth in born:
-        order.setdefault(birth.address, []).append(birth.boot)
+    boots: dict[str, list[str]] = {}
+    for birth in births:
+        boots.setdefault(birth.address, []).append(birth.boot)
     starts: dict[str, list[WasTold]] = {}
-    for one in told:
-        if one.status == "in service" and one.boot in order.get(one.address, ()):
-            starts.setdefault(one.address, []).append(one)
+    for report in reports:
+        if report.status == "in service" and report.boot in boots.get(report.address, ()):
+            starts.setdefault(report.address, []).append(report)
     for view in views:
         for address, boot, status in view.rows if view.by not in bounds.liars else ():
-            if status == "gone" or boot not in order.get(address, ()):
+            if status == "gone" or boot not in boots.get(address, ()):
                 continue
-            nth = order[address].index(boot)
-            for one in starts.get(address, ()):
+            position = boots[address].index(boot)
+            for report in starts.get(address, ()):
                 if (
-                    order[address].index(one.boot) > nth
-                    and view.t > one.t + bounds.replaced_within
-                    and history.reach(one.by, view.by, one.t, view.t)
+                    boots[address].index(report.boot) > position
+                    and view.t > report.t + bounds.replaced_within
+                    and history.reach(report.by, view.by, report.t, view.t)
                     and view.by in _live(history)
                 ):
-                    found.broken.append(
+                    verdict.broken.append(
                         BrokenInvariant(
-                            "c", view.t, f"{view.by} holds {address} {boot} {status}, in whose place {one.boot} stands"
+                            "c", view.t, f"{view.by} holds {address} {boot} {status}, already replaced by {report.boot}"
                         )
                     )
                     break
 
 
-def _spread(views: list[FleetView], told: list[WasTold], found: FleetVerdict):
-    """For each fact, ms until it stood in the views of all that told any."""
+def _measure_spread(views: list[FleetView], reports: list[WasTold], verdict: FleetVerdict):
+    """Measures for each end of a process how many ms passed until the views of all controllers showed it."""
     names = {view.by for view in views}
-    for process, facts in _ends(told).items():
-        first, missing = facts[0].t, set(names)
+    for process, end_reports in _end_reports(reports).items():
+        reported_at, missing = end_reports[0].t, set(names)
         for view in views:
-            if view.t >= first and view.by in missing and (*process, "in service") not in view.rows:
+            if view.t >= reported_at and view.by in missing and (*process, "in service") not in view.rows:
                 missing.discard(view.by)
                 if not missing:
-                    found.told.append(view.t - first)
+                    verdict.told.append(view.t - reported_at)
                     break
 
 
 def loss(with_liar: float, without: float, bounds: FleetBounds, at: float = 0.0) -> list[BrokenInvariant]:
-    """(d) from the service of two runs that differ by the liar alone."""
+    """Checks (d) on the service of two runs that differ only in the lying member."""
     if with_liar >= without - bounds.liar_costs:
         return []
     return [BrokenInvariant("d", at, f"service {with_liar:.3f} with a liar, {without:.3f} without")]
--- a/sprucespool/judge/group.py
+++ b/sprucespool/judge/group.py
@@ -1,13 +1,14 @@
-"""Invariants of the group of controllers, held against the views that processes told and what was done to them.
+"""Checks the invariants of the group of controllers over the views that processes reported and the faults injected.
 
-A slow plain checker over a recorded history. It imports nothing of what keeps the invariants.
+A simple, unoptimised checker over a recorded history. It imports nothing from the code that maintains the invariants.
 
-(a) after the last fault all live members of a reachable group show the same digest within `alike_within`;
-(b) nobody live and reachable both ways is held dead beyond `cleared_within` (`never_dead`: not for a moment);
-(c) nobody dead is held alive beyond `dead_within`;
-(d) a process's incarnation and version never go back in one view;
+(a) after the last fault all live members of a reachable group report the same digest within `alike_within`;
+(b) no live member reachable in both directions is listed as dead for longer than `cleared_within` (with `never_dead`:
+    at any time);
+(c) no dead member is listed as alive for longer than `dead_within`;
+(d) a process's incarnation and version never decrease in the view of one process;
 (e) a member that left is never suspected;
-(f) the sum of shared parts never exceeds the whole.
+(f) the shares held at the same time never add up to more than the whole.
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
 
 
 class SeenView(msgspec.Struct):
-    """What process `start` of `by` told at `t` ms; its own row is among the rows."""
+    """The view that process `start` of member `by` reported at `t` ms; its own row is among the rows."""
 
     t: float
     by: str
@@ -40,14 +41,14 @@
 
 
 class Began(msgspec.Struct):
-    """A process of `name` runs from `t` on; known by its start once it told one."""
+    """A process of member `name` runs from `t` on; its start number is known from its first view."""
 
     t: float
     name: str
 
 
 class Ended(msgspec.Struct):
-    """`how`: killed, or left (asked to leave at `t`; it ends soon after)."""
+    """A process ended. `how`: killed, or left (asked to leave at `t`; it ends soon after)."""
 
     t: float
     name: str
@@ -55,8 +56,8 @@
 
 
 class Faulted(msgspec.Struct):
-    """From `t` on the groups of names in `sides` reach each other no more, those in `held` are stopped; with neither,
-    all is well again. `uneven`: something else is wrong with the links, so that nobody's reach is sure."""
+    """From `t` on the groups of names in `sides` cannot reach each other and those in `held` are stopped; if both are
+    empty, these faults are over. `uneven`: links have other faults, so that no two members surely reach each other."""
 
     t: float
     sides: list[list[str]] = []
@@ -69,7 +70,7 @@
 
 @dataclass(slots=True)
 class Bounds:
-    """In ms."""
+    """Time limits of the invariants, in ms."""
 
     alike_within: float = 10_000.0
     cleared_within: float = 15_000.0
@@ -85,7 +86,7 @@
 
 
 @dataclass(slots=True)
-class _Life:
+class _Lifetime:
     name: str
     begun: float
     start: int = -1
@@ -95,7 +96,7 @@
 
 @dataclass(slots=True)
 class Verdict:
-    """`settled`: ms from the last fault to equal views, or None if they never were."""
+    """`settled`: ms from the last fault until the views were equal, or None if they did not become equal."""
 
     broken: list[BrokenInvariant]
     settled: float | None = None
@@ -104,141 +105,149 @@
 
 @dataclass(slots=True)
 class History:
-    """Lives, faults and views in order; see `reach`."""
+    """Lifetimes of processes, faults and views, in order of time."""
 
-    lives: list[_Life] = field(default_factory=list)
+    lives: list[_Lifetime] = field(default_factory=list)
     faults: list[Faulted] = field(default_factory=list)
     views: list[SeenView] = field(default_factory=list)
 
-    def life(self, name: str, t: float) -> _Life | None:
-        found = [one for one in self.lives if one.name == name and one.begun <= t < one.ended]
-        return found[-1] if found else None
+    def life(self, name: str, t: float) -> _Lifetime | None:
+        matching = [
+            lifetime for lifetime in self.lives if lifetime.name == name and lifetime.begun <= t < lifetime.ended
+        ]
+        return matching[-1] if matching else None
 
-    def reach(self, one: str, other: str, since: float, until: float) -> bool:
-        """Whether the two could talk both ways during all of the time."""
+    def reach(self, first: str, second: str, since: float, until: float) -> bool:
+        """Whether the two members could reach each other in both directions during the whole time."""
         ends = [*(fault.t for fault in self.faults[1:]), float("inf")]
         for fault, end in zip(self.faults, ends, strict=False):
             if fault.t > until or end < since:
                 continue
-            if fault.uneven or one in fault.held or other in fault.held:
+            if fault.uneven or first in fault.held or second in fault.held:
                 return False
-            side = [n for n, names in enumerate(fault.sides) if one in names or other in names]
-            if len(side) > 1 or len(side) == 1 and not {one, other} <= set(fault.sides[side[0]]):
+            sides = [n for n, names in enumerate(fault.sides) if first in names or second in names]
+            if len(sides) > 1 or len(sides) == 1 and not {first, second} <= set(fault.sides[sides[0]]):
                 return False
         return True
 
 
-def read(happened: Iterable[Happened]) -> History:
-    found = History()
-    for one in sorted(happened, key=lambda one: one.t):
-        if isinstance(one, Began):
-            found.lives.append(_Life(one.name, one.t))
-        elif isinstance(one, Ended):
-            for life in found.lives:
-                if life.name == one.name and life.ended == float("inf") and life.left == float("inf"):
-                    if one.how == "left":
-                        life.left = one.t
+def read(events: Iterable[Happened]) -> History:
+    history = History()
+    for event in sorted(events, key=lambda event: event.t):
+        if isinstance(event, Began):
+            history.lives.append(_Lifetime(event.name, event.t))
+        elif isinstance(event, Ended):
+            for lifetime in history.lives:
+                if lifetime.name == event.name and lifetime.ended == float("inf") and lifetime.left == float("inf"):
+                    if event.how == "left":
+                        lifetime.left = event.t
                     else:
-                        life.ended = one.t
-        elif isinstance(one, Faulted):
-            found.faults.append(one)
+                        lifetime.ended = event.t
+        elif isinstance(event, Faulted):
+            history.faults.append(event)
         else:
-            found.views.append(one)
-            its = found.life(one.by, one.t)
-            if its is not None and its.start < 0:
-                its.start = one.start
-    return found
+            history.views.append(event)
+            lifetime_of_view = history.life(event.by, event.t)
+            if lifetime_of_view is not None and lifetime_of_view.start < 0:
+                lifetime_of_view.start = event.start
+    return history
 
 
-def check(happened: Iterable[Happened], bounds: Bounds, end: float) -> Verdict:
-    """`end`: when the watching ended, in the views' ms."""
-    history = read(happened)
-    broken: list[BrokenInvariant] = []
-    _lives(history, bounds, broken)
-    _forward(history, broken)
-    _parts(history, broken)
-    settled = _alike(history, bounds, end, broken)
-    return Verdict(sorted(broken, key=lambda one: one.at), settled, len(history.views))
+def check(events: Iterable[Happened], bounds: Bounds, end: float) -> Verdict:
+    """Checks all invariants. `end`: when the observation ended, on the clock of the views."""
+    history = read(events)
+    violations: list[BrokenInvariant] = []
+    _check_states(history, bounds, violations)
+    _check_versions(history, violations)
+    _check_shares(history, violations)
+    settled = _check_digests(history, bounds, end, violations)
+    return Verdict(sorted(violations, key=lambda violation: violation.at), settled, len(history.views))
 
 
 def last_fault(history: History) -> float:
     times = [fault.t for fault in history.faults]
-    times += [at for life in history.lives for at in (life.begun, life.ended, life.left) if at < float("inf")]
+    times += [
+        at for lifetime in history.lives for at in (lifetime.begun, lifetime.ended, lifetime.left) if at < float("inf")
+    ]
     return max(times, default=0.0)
 
 
-def _alike(history: History, bounds: Bounds, end: float, broken: list[BrokenInvariant]) -> float | None:
-    last = last_fault(history)
+def _check_digests(history: History, bounds: Bounds, end: float, violations: list[BrokenInvariant]) -> float | None:
+    last_fault_at = last_fault(history)
     if history.faults and (history.faults[-1].sides or history.faults[-1].held or history.faults[-1].uneven):
         return None
-    live = {life.name for life in history.lives if life.ended == float("inf") and life.left == float("inf")}
-    newest: dict[str, str] = {}
-    since: float | None = None
+    live = {
+        lifetime.name for lifetime in history.lives if lifetime.ended == float("inf") and lifetime.left == float("inf")
+    }
+    digests: dict[str, str] = {}
+    same_since: float | None = None
     for view in history.views:
-        if view.t < last or view.by not in live:
+        if view.t < last_fault_at or view.by not in live:
             continue
-        newest[view.by] = view.digest
-        same = set(newest) == live and len(set(newest.values())) == 1
-        since = (since if since is not None else view.t) if same else None
-    settled = since - last if since is not None else None
-    if end - last >= bounds.alike_within and (settled is None or settled > bounds.alike_within):
-        told = "never" if settled is None else f"after {settled:.0f} ms"
-        broken.append(
+        digests[view.by] = view.digest
+        all_same = set(digests) == live and len(set(digests.values())) == 1
+        same_since = (same_since if same_since is not None else view.t) if all_same else None
+    settled = same_since - last_fault_at if same_since is not None else None
+    if end - last_fault_at >= bounds.alike_within and (settled is None or settled > bounds.alike_within):
+        when = "never" if settled is None else f"after {settled:.0f} ms"
+        violations.append(
             BrokenInvariant(
                 "a",
                 end,
-                f"{len(live)} live members showed the same digest {told}, "
-                f"{len(set(newest.values()))} digests at the end",
+                f"{len(live)} live members reported the same digest {when}, "
+                f"{len(set(digests.values()))} digests at the end",
             )
         )
     return settled
 
 
-def _lives(history: History, bounds: Bounds, broken: list[BrokenInvariant]):
-    by_start = {(life.name, life.start): life for life in history.lives if life.start >= 0}
+def _check_states(history: History, bounds: Bounds, violations: list[BrokenInvariant]):
+    by_start = {(lifetime.name, lifetime.start): lifetime for lifetime in history.lives if lifetime.start >= 0}
     for view in history.views:
         viewer = history.life(view.by, view.t)
         if viewer is None:
             continue
         for row in view.rows:
-            life = by_start.get((row.name, row.start))
-            if life is None or row.name == view.by:
+            lifetime = by_start.get((row.name, row.start))
+            if lifetime is None or row.name == view.by:
                 continue
             grace = 0.0 if bounds.never_dead else bounds.cleared_within
             if (
                 row.state == DEAD
-                and view.t < min(life.ended, life.left)
-                and max(life.begun, viewer.begun) <= view.t - grace
+                and view.t < min(lifetime.ended, lifetime.left)
+                and max(lifetime.begun, viewer.begun) <= view.t - grace
                 and history.reach(view.by, row.name, view.t - grace, view.t)
             ):
-                broken.append(BrokenInvariant("b", view.t, f"{view.by} holds {row.name} dead, which runs"))
-            gone = min(life.ended, life.left)
+                violations.append(BrokenInvariant("b", view.t, f"{view.by} holds {row.name} dead although it runs"))
+            ended_at = min(lifetime.ended, lifetime.left)
             if (
                 row.state in (ALIVE, SUSPECT)
-                and view.t > gone + bounds.dead_within
+                and view.t > ended_at + bounds.dead_within
                 and view.t > (viewer.begun + bounds.dead_within)
             ):
-                broken.append(
+                violations.append(
                     BrokenInvariant(
-                        "c", view.t, f"{view.by} holds {row.name} alive, gone for {(view.t - gone) / 1000:.0f} s"
+                        "c", view.t, f"{view.by} holds {row.name} alive, gone for {(view.t - ended_at) / 1000:.0f} s"
                     )
                 )
             if (
-                life.left < view.t
+                lifetime.left < view.t
                 and row.state in (SUSPECT, DEAD)
-                and history.reach(view.by, row.name, life.left - 2_000.0, view.t)
+                and history.reach(view.by, row.name, lifetime.left - 2_000.0, view.t)
             ):
-                broken.append(BrokenInvariant("e", view.t, f"{view.by} holds {row.name} {row.state}, which left"))
+                violations.append(
+                    BrokenInvariant("e", view.t, f"{view.by} holds {row.name} {row.state} although it left")
+                )
 
 
-def _forward(history: History, broken: list[BrokenInvariant]):
-    seen: dict[tuple[str, int, str, int], tuple[int, int]] = {}
+def _check_versions(history: History, violations: list[BrokenInvariant]):
+    highest: dict[tuple[str, int, str, int], tuple[int, int]] = {}
     for view in history.views:
         for row in view.rows:
             key = view.by, view.start, row.name, row.start
-            before = seen.get(key, (0, 0))
+            before = highest.get(key, (0, 0))
             if row.incarnation < before[0] or row.version < before[1]:
-                broken.append(
+                violations.append(
                     BrokenInvariant(
                         "d",
                         view.t,
@@ -246,22 +255,24 @@
                         f"version {before} to {(row.incarnation, row.version)}",
                     )
                 )
-            seen[key] = max(row.incarnation, before[0]), max(row.version, before[1])
+            highest[key] = max(row.incarnation, before[0]), max(row.version, before[1])
 
 
-def _parts(history: History, broken: list[BrokenInvariant]):
-    """A part told alike in two tellings after each other is taken to have held between them."""
+def _check_shares(history: History, violations: list[BrokenInvariant]):
+    """A share that two consecutive views of a process report alike counts as held between them."""
     steps: list[tuple[float, float]] = []
-    last: dict[tuple[str, int], SeenView] = {}
+    last_view: dict[tuple[str, int], SeenView] = {}
     for view in history.views:
-        before = last.get((view.by, view.start))
+        before = last_view.get((view.by, view.start))
         if before is not None and before.part == view.part and view.part > 0:
             steps += [(before.t, view.part), (view.t, -view.part)]
-        last[view.by, view.start] = view
+        last_view[view.by, view.start] = view
     total = 0.0
-    # What ends at a moment is taken away first.
-    for t, part in sorted(steps):
-        total += part
+    # Of steps at the same time, those that end a share sort first.
+    for t, share in sorted(steps):
+        total += share
         if total > 1.0 + 1e-6:
-            broken.append(BrokenInvariant("f", t, f"the parts held at once come to {total:.3f} of the whole"))
+            violations.append(
+                BrokenInvariant("f", t, f"the shares held at the same time add up to {total:.3f} of the whole")
+            )
             return
--- a/sprucespool/judge/rules.py
+++ b/sprucespool/judge/rules.py
@@ -1,4 +1,4 @@
-"""Rules 1 to 5, told plainly and slowly. Nothing here is shared with the code that keeps them."""
+"""Checks rules 1 to 5 in a simple, unoptimised way. Shares no code with the implementation that follows the rules."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RuleFacts:
-    """What the rules are held against; ms. `slack` is for what lies between two processes' sockets."""
+    """Parameters of the rules; times in ms. `tolerance` allows for the delay between the sockets of two processes."""
 
     groups: dict[str, GroupRule]
     drain_grace: float
@@ -50,8 +50,8 @@
     order_floor: float = 0.0
     order_share: float = 0.0
     order_window: float = 0.0
-    slack: float = 250.0
-    # Between a cancel on one connection and a forward on another.
+    tolerance: float = 250.0
+    # Delay allowed between a cancel on one connection and a forward on another.
     overlap: float = 60.0
 
 
@@ -62,301 +62,354 @@
     what: str
 
 
-class _Machine:
-    """What a busy machine kept processes from doing. Against verdicts of its own making: an answer was told late by
-    12 ms more than the sockets' slack once in some thousand plays, beside forty other processes on eight cores."""
+class _MachineLoad:
+    """How long a busy machine delayed processes, so that such delays are not reported as violations. Without this, an
+    answer was reported as late by 12 ms beyond the tolerance about once in a thousand plays, next to forty other
+    processes on eight cores."""
 
-    def __init__(self, seen: list[Seen]):
-        self.looks = [one for one in seen if isinstance(one, Starved)]
-        self.ends = [one.t for one in self.looks]
+    def __init__(self, events: list[Seen]):
+        self.samples = [event for event in events if isinstance(event, Starved)]
+        self.ends = [event.t for event in self.samples]
 
-    def kept(self, begin: float, end: float, *processes: str) -> float:
-        """ms at the most that what passed through these processes from `begin` to `end` was kept: within one look what
-        several waited adds up, but never to more than the look was long."""
-        found = 0.0
-        for look in self.looks[bisect_right(self.ends, begin) :]:
-            if look.since >= end:
+    def delay_ms(self, begin: float, end: float, *processes: str) -> float:
+        """Upper bound in ms of the delay, between `begin` and `end`, of something that passed through these processes.
+        Within one sample the delays of several processes add up, but to no more than the length of the sample."""
+        delay = 0.0
+        for sample in self.samples[bisect_right(self.ends, begin) :]:
+            if sample.since >= end:
                 break
-            found += min(look.t - look.since, look.stolen + sum(look.waits.get(name, 0.0) for name in processes))
-        return found
+            delay += min(
+                sample.t - sample.since, sample.stolen + sum(sample.waits.get(name, 0.0) for name in processes)
+            )
+        return delay
 
 
 @dataclass(slots=True)
 class _Forward:
-    came: Came
-    went: Went | None = None
+    arrival: Came
+    end: Went | None = None
 
 
 @dataclass(slots=True)
 class _Try:
     sent: Sent
     answers: list[Answer] = field(default_factory=list)
-    over_at: float | None = None
+    ended_at: float | None = None
     unreached: bool = False
-    no_answer: float | None = None
+    wait_over_at: float | None = None
     forwards: list[_Forward] = field(default_factory=list)
 
 
-def judge(seen: list[Seen], facts: RuleFacts) -> list[BrokenRule]:
-    """All that was broken, in order of time."""
-    seen = sorted(seen, key=lambda one: one.t)
-    tries, machine = _tries(seen), _Machine(seen)
-    broken = [
-        *_answers(seen, tries, facts, machine),
-        *_effects(seen, tries, facts, machine),
-        *_drains(seen, facts, machine),
-        *_cold(seen, facts),
-        *_ration(seen, facts),
+def judge(events: list[Seen], facts: RuleFacts) -> list[BrokenRule]:
+    """Returns all violations in order of time."""
+    events = sorted(events, key=lambda event: event.t)
+    tries, machine_load = _tries(events), _MachineLoad(events)
+    violations = [
+        *_answers(events, tries, facts, machine_load),
+        *_effects(events, tries, facts, machine_load),
+        *_drains(events, facts, machine_load),
+        *_cold_invokers(events, facts),
+        *_order_limit(events, facts),
     ]
-    return sorted(broken, key=lambda one: one.at)
+    return sorted(violations, key=lambda violation: violation.at)
 
 
-def _tries(seen: list[Seen]) -> dict[str, _Try]:
+def _tries(events: list[Seen]) -> dict[str, _Try]:
     tries: dict[str, _Try] = {}
     forwards: dict[tuple[str, str, int], _Forward] = {}
-    for one in seen:
-        if isinstance(one, Sent):
-            tries[one.id] = _Try(one)
-    for one in seen:
-        if isinstance(one, Answer):
-            tries[one.id].answers.append(one)
-        elif isinstance(one, LeftEarly):
-            tries[one.id].over_at = one.t
-        elif isinstance(one, Unreached):
-            tries[one.id].unreached = True
-            tries[one.id].over_at = one.t
-        elif isinstance(one, NoAnswer):
-            tries[one.id].no_answer = one.t
-        elif isinstance(one, Came):
-            forward = forwards[one.invoker, one.boot, one.n] = _Forward(one)
-            if one.id in tries:
-                tries[one.id].forwards.append(forward)
-        elif isinstance(one, Went) and (one.invoker, one.boot, one.n) in forwards:
-            forwards[one.invoker, one.boot, one.n].went = one
+    for event in events:
+        if isinstance(event, Sent):
+            tries[event.id] = _Try(event)
+    for event in events:
+        if isinstance(event, Answer):
+            tries[event.id].answers.append(event)
+        elif isinstance(event, LeftEarly):
+            tries[event.id].ended_at = event.t
+        elif isinstance(event, Unreached):
+            tries[event.id].unreached = True
+            tries[event.id].ended_at = event.t
+        elif isinstance(event, NoAnswer):
+            tries[event.id].wait_over_at = event.t
+        elif isinstance(event, Came):
+            forward = forwards[event.invoker, event.boot, event.n] = _Forward(event)
+            if event.id in tries:
+                tries[event.id].forwards.append(forward)
+        elif isinstance(event, Went) and (event.invoker, event.boot, event.n) in forwards:
+            forwards[event.invoker, event.boot, event.n].end = event
     return tries
 
 
-def _answers(seen: list[Seen], tries: dict[str, _Try], facts: RuleFacts, machine: _Machine) -> list[BrokenRule]:
-    """Rule 1: one final answer within the ttl, nothing sent after it."""
-    broken = []
-    held = [one for one in seen if isinstance(one, Stalled)]
-    killed = [one for one in seen if isinstance(one, Killed)]
-    # By name and time: a day on which thousands find no controller must not be gone through for each.
-    broke = {(one.id, one.t) for one in seen if isinstance(one, Unreached) and one.sent}
-    for one in tries.values():
-        sent, until = one.sent, one.sent.t + one.sent.ttl
-        # A controller that is held still, or killed, can't answer: what it owed then is no duty, or a later one.
-        for stall in held:
-            if stall.controller == sent.controller and stall.t <= until and stall.until >= sent.t:
-                until = max(until, stall.until)
-        dead = any(
-            kill.controller == sent.controller and sent.t - facts.slack <= kill.t <= until + facts.slack
-            for kill in killed
+def _answers(
+    events: list[Seen], tries: dict[str, _Try], facts: RuleFacts, machine_load: _MachineLoad
+) -> list[BrokenRule]:
+    """Rule 1: one final answer within the ttl, and no forward after it."""
+    violations = []
+    stalls = [event for event in events if isinstance(event, Stalled)]
+    kills = [event for event in events if isinstance(event, Killed)]
+    # A set of id and time, so that a day with thousands of unreached tries does not need a scan for each of them.
+    broken_connections = {(event.id, event.t) for event in events if isinstance(event, Unreached) and event.sent}
+    for client_try in tries.values():
+        sent, due = client_try.sent, client_try.sent.t + client_try.sent.ttl
+        # A stalled controller may answer after its stall instead; a killed one owes no answer.
+        for stall in stalls:
+            if stall.controller == sent.controller and stall.t <= due and stall.until >= sent.t:
+                due = max(due, stall.until)
+        controller_killed = any(
+            kill.controller == sent.controller and sent.t - facts.tolerance <= kill.t <= due + facts.tolerance
+            for kill in kills
         )
-        if len(one.answers) > 1:
-            broken.append(BrokenRule(1, one.answers[1].t, f"{sent.id}: {len(one.answers)} final answers"))
-        path = "clients", f"c{sent.controller}"
-        if one.answers and one.answers[0].t > until + facts.slack:
-            # Late by the machine: until the controller had the try, and from when its answer was due.
-            at, late = one.answers[0].t, one.answers[0].t - until
-            kept = machine.kept(sent.t, sent.t + facts.slack, *path) + machine.kept(until - facts.slack, at, *path)
-            if late > facts.slack + kept:
-                broken.append(
+        if len(client_try.answers) > 1:
+            violations.append(
+                BrokenRule(1, client_try.answers[1].t, f"{sent.id}: {len(client_try.answers)} final answers")
+            )
+        processes = "clients", f"c{sent.controller}"
+        if client_try.answers and client_try.answers[0].t > due + facts.tolerance:
+            # Delays by the machine count while the try travelled to the controller, and from when its answer was due.
+            answered_at, late = client_try.answers[0].t, client_try.answers[0].t - due
+            delay = machine_load.delay_ms(sent.t, sent.t + facts.tolerance, *processes) + machine_load.delay_ms(
+                due - facts.tolerance, answered_at, *processes
+            )
+            if late > facts.tolerance + delay:
+                violations.append(
                     BrokenRule(
                         1,
-                        at,
+                        answered_at,
                         f"{sent.id}: answered {late:.0f} ms after its ttl"
-                        + (f", the machine kept it {kept:.0f} ms" if kept else ""),
+                        + (f", the machine delayed it up to {delay:.0f} ms" if delay else ""),
                     )
                 )
-        if not one.answers and one.no_answer is not None and one.no_answer > until + facts.slack and not dead:
-            broken.append(BrokenRule(1, until, f"{sent.id}: never answered"))
-        if one.unreached and not dead and (sent.id, one.over_at) in broke:
-            broken.append(BrokenRule(1, one.over_at or until, f"{sent.id}: its connection broke, no controller died"))
-        over = one.answers[0].t if one.answers else one.over_at
-        if over is not None:
-            for forward in one.forwards:
-                came, late = forward.came, forward.came.t - over
+        if (
+            not client_try.answers
+            and client_try.wait_over_at is not None
+            and client_try.wait_over_at > due + facts.tolerance
+            and not controller_killed
+        ):
+            violations.append(BrokenRule(1, due, f"{sent.id}: never answered"))
+        if client_try.unreached and not controller_killed and (sent.id, client_try.ended_at) in broken_connections:
+            violations.append(
+                BrokenRule(1, client_try.ended_at or due, f"{sent.id}: its connection broke, no controller died")
+            )
+        ended_at = client_try.answers[0].t if client_try.answers else client_try.ended_at
+        if ended_at is not None:
+            for forward in client_try.forwards:
+                arrival, late = forward.arrival, forward.arrival.t - ended_at
                 if (
-                    not dead
-                    and late > facts.slack
-                    and late > facts.slack + machine.kept(over, came.t, *path, "stage", came.boot)
+                    not controller_killed
+                    and late > facts.tolerance
+                    and late
+                    > facts.tolerance + machine_load.delay_ms(ended_at, arrival.t, *processes, "stage", arrival.boot)
                 ):
-                    broken.append(
-                        BrokenRule(1, came.t, f"{sent.id}: a forward to {came.invoker} {late:.0f} ms after its end")
+                    violations.append(
+                        BrokenRule(
+                            1, arrival.t, f"{sent.id}: a forward to {arrival.invoker} {late:.0f} ms after its end"
+                        )
                     )
-    return broken
+    return violations
 
 
-def _proven(forward: _Forward, at: float, slack: float) -> bool:
-    """Whether by then it was known not to have run."""
-    went = forward.went
-    return went is not None and went.how in NEVER_RAN and went.t <= at + slack
+def _known_not_run(forward: _Forward, at: float, tolerance: float) -> bool:
+    """Whether it was known by `at` that the forward did not run."""
+    end = forward.end
+    return end is not None and end.how in NEVER_RAN and end.t <= at + tolerance
 
 
-def _effects(seen: list[Seen], tries: dict[str, _Try], facts: RuleFacts, machine: _Machine) -> list[BrokenRule]:
+def _effects(
+    events: list[Seen], tries: dict[str, _Try], facts: RuleFacts, machine_load: _MachineLoad
+) -> list[BrokenRule]:
     """Rule 2: no effect twice."""
-    broken = []
-    places = {one.invoker: (one.zone, one.cell) for one in seen if isinstance(one, Booted)}
-    names = {one.boot: one.place for one in seen if isinstance(one, Booted)}
-    links = [one for one in seen if isinstance(one, BadLink)]
-    for one in tries.values():
-        group = facts.groups[one.sent.group]
-        forwards = sorted(one.forwards, key=lambda forward: forward.came.t)
+    violations = []
+    places = {event.invoker: (event.zone, event.cell) for event in events if isinstance(event, Booted)}
+    link_names = {event.boot: event.place for event in events if isinstance(event, Booted)}
+    links = [event for event in events if isinstance(event, BadLink)]
+    for client_try in tries.values():
+        group = facts.groups[client_try.sent.group]
+        forwards = sorted(client_try.forwards, key=lambda forward: forward.arrival.t)
         for n, later in enumerate(forwards):
             for earlier in forwards[:n]:
-                gap = later.came.t - earlier.came.t
-                there, here = places.get(earlier.came.invoker, ("", "")), places.get(later.came.invoker, ("", ""))
-                # A controller cannot call off in time what its words reach late or never.
+                gap = later.arrival.t - earlier.arrival.t
+                earlier_place, later_place = (
+                    places.get(earlier.arrival.invoker, ("", "")),
+                    places.get(later.arrival.invoker, ("", "")),
+                )
+                # A controller cannot call off a forward in time over a link that delays or loses its messages.
                 if (
                     not facts.may_duplicate
-                    and not _bad(links, earlier.came, names, later.came.t)
+                    and not _link_was_bad(links, earlier.arrival, link_names, later.arrival.t)
                     and (
-                        earlier.went is None
+                        earlier.end is None
                         and gap > facts.overlap
-                        and _alive(seen, earlier, later.came.t)
-                        or earlier.went is not None
-                        and earlier.went.t
-                        > later.came.t
+                        and _alive(events, earlier, later.arrival.t)
+                        or earlier.end is not None
+                        and earlier.end.t
+                        > later.arrival.t
                         + facts.overlap
-                        + machine.kept(later.came.t - facts.overlap, earlier.went.t, "stage", earlier.came.boot)
+                        + machine_load.delay_ms(
+                            later.arrival.t - facts.overlap, earlier.end.t, "stage", earlier.arrival.boot
+                        )
                     )
                 ):
-                    broken.append(BrokenRule(2, later.came.t, f"{one.sent.id}: two forwards out at once"))
-                if _proven(earlier, later.came.t, 1.0):
+                    violations.append(
+                        BrokenRule(2, later.arrival.t, f"{client_try.sent.id}: two forwards in flight at once")
+                    )
+                if _known_not_run(earlier, later.arrival.t, 1.0):
                     continue
                 if group.effect == "non-retriable":
-                    broken.append(
+                    violations.append(
                         BrokenRule(
-                            2, later.came.t, f"{one.sent.id}: non-retriable, forwarded again to {later.came.invoker}"
+                            2,
+                            later.arrival.t,
+                            f"{client_try.sent.id}: non-retriable, forwarded again to {later.arrival.invoker}",
                         )
                     )
                 elif group.effect == "deduped":
-                    if gap >= group.dedup_window + facts.slack:
-                        broken.append(BrokenRule(2, later.came.t, f"{one.sent.id}: again after {gap:.0f} ms"))
-                    inside = group.scope == "all" or there[0] == here[0] and (group.scope == "zone" or there == here)
-                    if not inside:
-                        broken.append(BrokenRule(2, later.came.t, f"{one.sent.id}: again outside its group"))
-        for answer in one.answers:
+                    if gap >= group.dedup_window + facts.tolerance:
+                        violations.append(
+                            BrokenRule(2, later.arrival.t, f"{client_try.sent.id}: forwarded again after {gap:.0f} ms")
+                        )
+                    in_scope = (
+                        group.scope == "all"
+                        or earlier_place[0] == later_place[0]
+                        and (group.scope == "zone" or earlier_place == later_place)
+                    )
+                    if not in_scope:
+                        violations.append(
+                            BrokenRule(
+                                2, later.arrival.t, f"{client_try.sent.id}: forwarded again outside its dedup scope"
+                            )
+                        )
+        for answer in client_try.answers:
             if answer.code != SHED or group.effect == "retriable":
                 continue
-            maybe = [
-                forward for forward in forwards if forward.came.t <= answer.t and not _proven(forward, answer.t, 1.0)
+            possibly_run = [
+                forward
+                for forward in forwards
+                if forward.arrival.t <= answer.t and not _known_not_run(forward, answer.t, 1.0)
             ]
-            if maybe and not (group.effect == "deduped" and group.scope == "all"):
-                broken.append(BrokenRule(2, answer.t, f"{one.sent.id}: shed though it may have run"))
-    return broken
+            if possibly_run and not (group.effect == "deduped" and group.scope == "all"):
+                violations.append(BrokenRule(2, answer.t, f"{client_try.sent.id}: shed though it may have run"))
+    return violations
 
 
-def _bad(links: list[BadLink], came: Came, names: dict[str, str], at: float) -> bool:
-    """Whether the link between its controller and its invoker was bad at some moment until `at`."""
+def _link_was_bad(links: list[BadLink], arrival: Came, link_names: dict[str, str], at: float) -> bool:
+    """Whether the link between the forward's controller and its invoker was bad at some moment up to `at`."""
     return any(
-        one.controller == came.controller and one.place == names.get(came.boot) and one.t <= at and one.until >= came.t
-        for one in links
+        link.controller == arrival.controller
+        and link.place == link_names.get(arrival.boot)
+        and link.t <= at
+        and link.until >= arrival.t
+        for link in links
     )
 
 
-def _alive(seen: list[Seen], forward: _Forward, at: float) -> bool:
-    """Whether the process that has the forward still lived: what died with it is out nowhere."""
+def _alive(events: list[Seen], forward: _Forward, at: float) -> bool:
+    """Whether the process that holds the forward was still running at `at`; a forward ends with its process."""
     return not any(
-        isinstance(one, (Died, PushedOver)) and one.boot == forward.came.boot and one.t <= at for one in seen
+        isinstance(event, (Died, PushedOver)) and event.boot == forward.arrival.boot and event.t <= at
+        for event in events
     )
 
 
-def _drains(seen: list[Seen], facts: RuleFacts, machine: _Machine) -> list[BrokenRule]:
-    """Rule 3: nothing new past the grace after being told of drain or gone."""
-    broken = []
-    told: dict[tuple[int, str], tuple[float, str, str]] = {}
-    last: dict[tuple[int, str], str] = {}
-    # Processes that a controller was told are in service: an old copy of a roster may speak of one before them.
-    named: set[tuple[int, str, str]] = set()
-    for one in seen:
-        if isinstance(one, Told):
-            key = one.controller, one.invoker
-            if one.status == "in service":
-                told.pop(key, None)
-                named.add((*key, one.boot))
-            elif key not in told or last.get(key) == "in service":
-                told[key] = one.t, one.status, one.boot
-            last[key] = one.status
-        elif isinstance(one, Killed):
-            # Its successor was told nothing yet.
-            for key in [key for key in told if key[0] == one.controller]:
-                del told[key]
-            named = {one_named for one_named in named if one_named[0] != one.controller}
-        elif isinstance(one, Came) or isinstance(one, Ordered) and one.copies:
-            key = one.controller, one.invoker
-            if key in told and told[key][2] not in ("", one.boot) and (*key, one.boot) in named:
-                continue  # the word was of another process than the one that this reached
-            due = told[key][0] + facts.drain_grace if key in told else one.t
-            if one.t > due + facts.slack and one.t > due + facts.slack + machine.kept(
-                due, one.t, f"c{one.controller}", "stage", one.boot
+def _drains(events: list[Seen], facts: RuleFacts, machine_load: _MachineLoad) -> list[BrokenRule]:
+    """Rule 3: no new forward or order once the grace period after a report of draining or gone is over."""
+    violations = []
+    reported: dict[tuple[int, str], tuple[float, str, str]] = {}
+    last_status: dict[tuple[int, str], str] = {}
+    # Processes that were reported to a controller as in service; an old copy of a roster may still describe an
+    # earlier process at the same address.
+    in_service: set[tuple[int, str, str]] = set()
+    for event in events:
+        if isinstance(event, Told):
+            key = event.controller, event.invoker
+            if event.status == "in service":
+                reported.pop(key, None)
+                in_service.add((*key, event.boot))
+            elif key not in reported or last_status.get(key) == "in service":
+                reported[key] = event.t, event.status, event.boot
+            last_status[key] = event.status
+        elif isinstance(event, Killed):
+            # The process that succeeds it has received no reports yet.
+            for key in [key for key in reported if key[0] == event.controller]:
+                del reported[key]
+            in_service = {process for process in in_service if process[0] != event.controller}
+        elif isinstance(event, Came) or isinstance(event, Ordered) and event.copies:
+            key = event.controller, event.invoker
+            if key in reported and reported[key][2] not in ("", event.boot) and (*key, event.boot) in in_service:
+                continue  # the report was about another process than the one reached
+            due = reported[key][0] + facts.drain_grace if key in reported else event.t
+            if event.t > due + facts.tolerance and event.t > due + facts.tolerance + machine_load.delay_ms(
+                due, event.t, f"c{event.controller}", "stage", event.boot
             ):
-                what = "a forward" if isinstance(one, Came) else "an order"
-                broken.append(
+                kind = "a forward" if isinstance(event, Came) else "an order"
+                violations.append(
                     BrokenRule(
                         3,
-                        one.t,
-                        f"{what} of controller {one.controller} to {one.invoker} "
-                        f"{one.t - told[key][0]:.0f} ms after it was told {told[key][1]}",
+                        event.t,
+                        f"{kind} of controller {event.controller} to {event.invoker} "
+                        f"{event.t - reported[key][0]:.0f} ms after it was told {reported[key][1]}",
                     )
                 )
-    return broken
-
-
-def _cold(seen: list[Seen], facts: RuleFacts) -> list[BrokenRule]:
-    """Rule 4: what all controllers send a cold invoker within a span stays under its multiple."""
-    broken = []
-    boots = {one.boot: one for one in seen if isinstance(one, Booted) and one.cold}
-    sent: dict[str, list[Came]] = {boot: [] for boot in boots}
-    for one in seen:
-        if isinstance(one, Came) and one.boot in boots and one.t <= boots[one.boot].t + facts.warm_after:
-            sent[one.boot].append(one)
-        elif isinstance(one, PushedOver):
-            broken.append(
+    return violations
+
+
+def _cold_invokers(events: list[Seen], facts: RuleFacts) -> list[BrokenRule]:
+    """Rule 4: the work that all controllers together send a cold invoker within the window stays under its multiple."""
+    violations = []
+    boots = {event.boot: event for event in events if isinstance(event, Booted) and event.cold}
+    arrivals: dict[str, list[Came]] = {boot: [] for boot in boots}
+    for event in events:
+        if isinstance(event, Came) and event.boot in boots and event.t <= boots[event.boot].t + facts.warm_after:
+            arrivals[event.boot].append(event)
+        elif isinstance(event, PushedOver):
+            violations.append(
                 BrokenRule(
-                    4, one.t, f"{one.invoker} fell over: {one.sent:.0f} ms of work sent, {one.allowed:.0f} allowed"
+                    4,
+                    event.t,
+                    f"{event.invoker} was overloaded: {event.sent:.0f} ms of work sent, {event.allowed:.0f} allowed",
                 )
             )
-    for boot, came in sent.items():
-        born = boots[boot]
-        for last in came:
-            grown = min(1.0, (last.t - born.t) / facts.warm_after)
-            share = facts.cold_share + (1 - facts.cold_share) * grown
-            allowed = facts.fall_multiple * share * born.cores * born.speed * facts.fall_window
-            total = sum(one.work for one in came if last.t - facts.fall_window <= one.t <= last.t)
-            if total > allowed:
-                broken.append(
+    for boot, sequence in arrivals.items():
+        booted = boots[boot]
+        for latest in sequence:
+            progress = min(1.0, (latest.t - booted.t) / facts.warm_after)
+            share = facts.cold_share + (1 - facts.cold_share) * progress
+            allowed_ms = facts.fall_multiple * share * booted.cores * booted.speed * facts.fall_window
+            work_ms = sum(event.work for event in sequence if latest.t - facts.fall_window <= event.t <= latest.t)
+            if work_ms > allowed_ms:
+                violations.append(
                     BrokenRule(
                         4,
-                        last.t,
-                        f"{born.invoker}: {total:.0f} ms of work within "
-                        f"{facts.fall_window:.0f} ms, {allowed:.0f} allowed",
+                        latest.t,
+                        f"{booted.invoker}: {work_ms:.0f} ms of work within "
+                        f"{facts.fall_window:.0f} ms, {allowed_ms:.0f} allowed",
                     )
                 )
                 break
-    return broken
+    return violations
 
 
-def _ration(seen: list[Seen], facts: RuleFacts) -> list[BrokenRule]:
-    """Rule 5: orders to load within the ration, where one is set."""
+def _order_limit(events: list[Seen], facts: RuleFacts) -> list[BrokenRule]:
+    """Rule 5: load orders stay within the limit, if one is set."""
     if facts.order_window <= 0:
         return []
-    broken = []
-    controllers = {one.controller for one in seen if isinstance(one, Sent)}
+    violations = []
+    controllers = {event.controller for event in events if isinstance(event, Sent)}
     for controller in sorted(controllers):
-        took = [one.t for one in seen if isinstance(one, Sent) and one.controller == controller]
-        orders = [one.t for one in seen if isinstance(one, Ordered) and one.controller == controller and one.copies]
+        inferences = [event.t for event in events if isinstance(event, Sent) and event.controller == controller]
+        orders = [
+            event.t
+            for event in events
+            if isinstance(event, Ordered) and event.controller == controller and event.copies
+        ]
         for at in orders:
-            # Sockets' delays on either side: orders counted within a little less, inferences within a little more.
+            # Allows for socket delays: the window is slightly shorter for orders and slightly longer for inferences.
             since = at - facts.order_window
-            many = sum(since + facts.overlap <= other <= at for other in orders)
-            most = facts.order_floor + facts.order_share * sum(
-                since - facts.overlap <= other <= at + facts.overlap for other in took
+            count = sum(since + facts.overlap <= other <= at for other in orders)
+            limit = facts.order_floor + facts.order_share * sum(
+                since - facts.overlap <= other <= at + facts.overlap for other in inferences
             )
-            if many > most + 1e-9:
-                broken.append(
-                    BrokenRule(5, at, f"controller {controller}: {many} orders within the window, {most:.1f} allowed")
+            if count > limit + 1e-9:
+                violations.append(
+                    BrokenRule(5, at, f"controller {controller}: {count} orders within the window, {limit:.1f} allowed")
                 )
                 break
-    return broken
+    return violations
--- a/sprucespool/judge/score.py
+++ b/sprucespool/judge/score.py
@@ -1,4 +1,4 @@
-"""A day's table: what was asked for, what became of it, what it cost."""
+"""A day's results table: the inferences sent, how they ended, and what they cost in forwards, orders and loads."""
 
 from __future__ import annotations
 
@@ -18,7 +18,8 @@
 
 @dataclass(slots=True)
 class Table:
-    """Numbers of first tries but where a line says tries. `service` is value got over value asked for."""
+    """Counts of first tries, except `tries`, which includes repeats. `service` is the value gained divided by the value
+    asked for."""
 
     taken: int = 0
     tries: int = 0
@@ -41,62 +42,66 @@
         return asdict(self)
 
 
-def score(seen: list[Seen], groups: dict[str, GroupValue]) -> Table:
-    """A client's repeats count with its first try; the SLO time runs from that."""
+def score(events: list[Seen], groups: dict[str, GroupValue]) -> Table:
+    """Counts a client's repeats with its first try; the SLO time runs from the first try."""
     table = Table()
     roots: dict[str, Sent] = {}
-    of_try: dict[str, str] = {}
-    best: dict[str, float] = {}
-    last: dict[str, str] = {}
-    for one in sorted(seen, key=lambda one: one.t):
-        if isinstance(one, Sent):
+    root_of_try: dict[str, str] = {}
+    latencies: dict[str, float] = {}
+    last_end: dict[str, str] = {}
+    for event in sorted(events, key=lambda event: event.t):
+        if isinstance(event, Sent):
             table.tries += 1
-            of_try[one.id] = one.root
-            if one.nth == 0:
-                roots[one.root] = one
-        elif isinstance(one, Answer):
-            root = of_try[one.id]
-            if one.code == OK and root not in best:
-                best[root] = one.t - roots[root].t
-            last[root] = "shed" if one.code == SHED else "failed"
-        elif isinstance(one, LeftEarly):
-            last.setdefault(of_try[one.id], "left")
-        elif isinstance(one, (NoAnswer, Unreached)):
-            last[of_try[one.id]] = "unreached"
-        elif isinstance(one, Came):
+            root_of_try[event.id] = event.root
+            if event.nth == 0:
+                roots[event.root] = event
+        elif isinstance(event, Answer):
+            root = root_of_try[event.id]
+            if event.code == OK and root not in latencies:
+                latencies[root] = event.t - roots[root].t
+            last_end[root] = "shed" if event.code == SHED else "failed"
+        elif isinstance(event, LeftEarly):
+            last_end.setdefault(root_of_try[event.id], "left")
+        elif isinstance(event, (NoAnswer, Unreached)):
+            last_end[root_of_try[event.id]] = "unreached"
+        elif isinstance(event, Came):
             table.forwards += 1
-        elif isinstance(one, Ordered):
-            table.orders += bool(one.copies)
-        elif isinstance(one, Count):
-            if one.name == "loads":
-                table.loads += int(one.value)
-            elif one.name == "turned away":
-                table.fetches_turned_away += int(one.value)
+        elif isinstance(event, Ordered):
+            table.orders += bool(event.copies)
+        elif isinstance(event, Count):
+            if event.name == "loads":
+                table.loads += int(event.value)
+            elif event.name == "turned away":
+                table.fetches_turned_away += int(event.value)
     table.taken = len(roots)
-    asked = got = 0.0
-    spans: dict[int, list[float]] = {}
-    begin = min((sent.t for sent in roots.values()), default=0.0)
+    value_asked = value_gained = 0.0
+    intervals: dict[int, list[float]] = {}
+    first_sent_at = min((sent.t for sent in roots.values()), default=0.0)
     for root, sent in roots.items():
-        group, gained = groups[sent.group], 0.0
-        if root in best:
-            in_time = best[root] <= group.slo_time
+        group, value = groups[sent.group], 0.0
+        if root in latencies:
+            in_time = latencies[root] <= group.slo_time
             table.in_slo_time += in_time
             table.late += not in_time
-            gained = group.value if in_time else group.value * group.late_value
+            value = group.value if in_time else group.value * group.late_value
         else:
-            how = last.get(root, "unreached")
-            setattr(table, how, getattr(table, how) + 1)
-        asked += group.value
-        got += gained
-        span = spans.setdefault(int((sent.t - begin) // 10_000), [0.0, 0.0])
-        span[0] += gained
-        span[1] += group.value
-    table.service = got / asked if asked else 0.0
-    # A last span of some tenths of a second says nothing.
-    full = [gain / want for gain, want in spans.values() if want >= asked / max(1, len(spans)) / 2]
-    table.worst_10s = min(full, default=0.0)
-    times = sorted(best.values())
-    if times:
-        table.p50_ms = times[len(times) // 2]
-        table.p99_ms = times[min(len(times) - 1, int(len(times) * 0.99))]
+            end = last_end.get(root, "unreached")
+            setattr(table, end, getattr(table, end) + 1)
+        value_asked += group.value
+        value_gained += value
+        interval = intervals.setdefault(int((sent.t - first_sent_at) // 10_000), [0.0, 0.0])
+        interval[0] += value
+        interval[1] += group.value
+    table.service = value_gained / value_asked if value_asked else 0.0
+    # Leaves out a short last interval: one of some tenths of a second is not meaningful.
+    interval_services = [
+        value_in_interval / asked_in_interval
+        for value_in_interval, asked_in_interval in intervals.values()
+        if asked_in_interval >= value_asked / max(1, len(intervals)) / 2
+    ]
+    table.worst_10s = min(interval_services, default=0.0)
+    sorted_latencies = sorted(latencies.values())
+    if sorted_latencies:
+        table.p50_ms = sorted_latencies[len(sorted_latencies) // 2]
+        table.p99_ms = sorted_latencies[min(len(sorted_latencies) - 1, int(len(sorted_latencies) * 0.99))]
     return table
--- a/sprucespool/judge/seen.py
+++ b/sprucespool/judge/seen.py
@@ -1,4 +1,4 @@
-"""What stand-ins and clients write down of their sockets. Times are ms of one machine's monotonic clock."""
+"""Notes that stand-ins and clients record about their sockets. Times are in ms of one machine's monotonic clock."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Sent(_Seen):
-    """A client sent a try. `root` names the first try of the same thing; `ttl` is what it waits."""
+    """A client sent a try. `root` is the id of the first try of the same inference; `ttl` is how long it waits."""
 
     id: str
     root: str
@@ -24,7 +24,7 @@
 
 
 class Answer(_Seen):
-    """A status came; `code` is gRPC's."""
+    """The client received a final status; `code` is the gRPC status code."""
 
     id: str
     code: int
@@ -33,26 +33,27 @@
 
 
 class NoAnswer(_Seen):
-    """The client's wait was over, some slack too, and nothing had come."""
+    """The client received no answer within its wait and an additional tolerance."""
 
     id: str
 
 
 class LeftEarly(_Seen):
-    """The client gave its try up."""
+    """The client cancelled its try."""
 
     id: str
 
 
 class Unreached(_Seen):
-    """The connection to the controller could not be had, or broke under the try."""
+    """The connection to the controller could not be established, or broke during the try; `sent`: the
+    try may have been processed."""
 
     id: str
     sent: bool
 
 
 class Came(_Seen):
-    """A forward reached an invoker; `n` numbers it in that process."""
+    """A forward reached an invoker; `n` is its number in that process."""
 
     invoker: str
     boot: str
@@ -64,7 +65,8 @@
 
 
 class Went(_Seen):
-    """`how` it ended there: returned, refused, missed, failed, lost (ran, answer gone), cancelled, cut."""
+    """A forward ended at an invoker. `how`: returned, refused, missed, failed, lost (ran, but its answer was lost),
+    cancelled, cut."""
 
     invoker: str
     boot: str
@@ -73,6 +75,8 @@
 
 
 class Ordered(_Seen):
+    """A load order reached an invoker; `copies` 0 only asks how many copies are loaded."""
+
     invoker: str
     boot: str
     controller: int
@@ -81,7 +85,7 @@
 
 
 class Booted(_Seen):
-    """A process began to serve: cold, with so many cores of such speed."""
+    """An invoker process began to serve; `speed` is that of each core."""
 
     invoker: str
     boot: str
@@ -90,18 +94,20 @@
     cold: bool = True
     zone: str = ""
     cell: str = ""
-    # Where links go bad by name: what it is called there.
+    # The name by which link faults refer to the invoker.
     place: str = ""
 
 
 class Died(_Seen):
-    """A process was killed or ended."""
+    """An invoker process was killed or ended."""
 
     invoker: str
     boot: str
 
 
 class PushedOver(_Seen):
+    """A cold invoker failed because it was sent more work than allowed, both in ms."""
+
     invoker: str
     boot: str
     sent: float
@@ -109,7 +115,7 @@
 
 
 class Told(_Seen):
-    """The roster sent a controller the state of an invoker's process."""
+    """The roster sent a controller the status of an invoker's process."""
 
     controller: int
     invoker: str
@@ -118,15 +124,16 @@
 
 
 class Stalled(_Seen):
-    """A controller was held by SIGSTOP until `until`."""
+    """A controller was stopped by SIGSTOP until `until`."""
 
     controller: int
     until: float
 
 
 class Starved(_Seen):
-    """A busy machine, which is no fault of its processes. Between `since` and `t` each of `waits` (c0, clients, stage,
-    an invoker's boot) was ready to run for so many ms and had no core; `stolen` ms were taken from one core at most."""
+    """The machine was busy, which is not a fault of its processes. Between `since` and `t` each process in `waits` (c0,
+    clients, stage, an invoker's boot) was ready to run but had no core for the given ms; `stolen` is the most that the
+    host took from one core, in ms."""
 
     since: float
     waits: dict[str, float]
@@ -134,7 +141,8 @@
 
 
 class BadLink(_Seen):
-    """Until `until` what went from the controller to the place of an invoker (i0), or back, came late or never."""
+    """Until `until` the link between the controller and the invoker named `place` (i0) delayed or lost data in some
+    direction."""
 
     controller: int
     place: str
@@ -142,13 +150,13 @@
 
 
 class Killed(_Seen):
-    """A controller process was ended without grace."""
+    """A controller process was killed without a graceful stop."""
 
     controller: int
 
 
 class Count(_Seen):
-    """A figure for the table: loads, fetches turned away and the like."""
+    """A count for the results table, such as loads or rejected fetches."""
 
     name: str
     value: float
@@ -178,7 +186,7 @@
 
 
 def read(lines: Iterable[bytes]) -> Iterator[Seen]:
-    """A line that is cut off (its process was killed while it wrote) is passed over; only a last one can be."""
+    """Decodes notes; skips a truncated line, which can only be the last one, of a process killed while it wrote."""
     for line in lines:
         if line.endswith(b"}\n"):
             yield _DECODER.decode(line)
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -1,4 +1,4 @@
-"""The judge on small notes made by hand: each breach told once, its lawful neighbour not."""
+"""The judge on small hand-written notes: each violation is reported once, and a similar lawful case is not."""
 
 import pytest
 
@@ -43,7 +43,7 @@
 
 OK, SHED = seen.Answer(900.0, "a", 0), seen.Answer(900.0, "a", 8)
 PLACES = [boot("w1", "x"), boot("w2", "x"), boot("w3", "y")]
-NAMED = [seen.Booted(-1e6, f"w{n}", f"w{n}#", 2, 1.0, False, "x", "", f"i{n}") for n in (1, 2)]
+LINK_PLACES = [seen.Booted(-1e6, f"w{n}", f"w{n}#", 2, 1.0, False, "x", "", f"i{n}") for n in (1, 2)]
 CASES = {
     "answered in time": ([sent(), OK], []),
     "two answers": ([sent(), OK, seen.Answer(950.0, "a", 2)], [1]),
@@ -76,7 +76,7 @@
     "called off in time, its word late on a bad link": (
         [
             sent(),
-            *NAMED,
+            *LINK_PLACES,
             came(0.0),
             seen.BadLink(50.0, 0, "i1", 400.0),
             came(100.0, 2, invoker="w2"),
@@ -88,7 +88,7 @@
     "called off late on a link that was bad before": (
         [
             sent(t=500.0),
-            *NAMED,
+            *LINK_PLACES,
             came(500.0),
             seen.BadLink(50.0, 0, "i1", 400.0),
             came(600.0, 2, invoker="w2"),
@@ -100,7 +100,7 @@
     "called off late while another's link is bad": (
         [
             sent(),
-            *NAMED,
+            *LINK_PLACES,
             came(0.0),
             seen.BadLink(50.0, 1, "i1", 400.0),
             seen.BadLink(50.0, 0, "i2", 400.0),
@@ -222,35 +222,49 @@
 
 
 @pytest.mark.parametrize("name", CASES)
-def test_a_breach_is_told_and_its_neighbour_not(name):
+def test_violation_is_reported_once_and_similar_lawful_case_is_not(name):
     notes, rules = CASES[name]
-    assert [broken.rule for broken in judge(notes, FACTS)] == rules
+    assert [violation.rule for violation in judge(notes, FACTS)] == rules
 
 
-def test_a_repeat_counts_with_its_first_try_and_the_slo_time_runs_from_that():
+def test_repeat_counts_with_its_first_try_and_slo_time_runs_from_the_first():
     groups = {"free": GroupValue(600.0, 1.0, 0.1)}
-    again = seen.Sent(500.0, "a.1", "a", 0, "free", 1000.0, "", 1)
-    late = [sent(), seen.Answer(100.0, "a", 8), again, seen.Answer(700.0, "a.1", 0)]
-    table = score(late, groups)
+    repeat = seen.Sent(500.0, "a.1", "a", 0, "free", 1000.0, "", 1)
+    late_answer = [sent(), seen.Answer(100.0, "a", 8), repeat, seen.Answer(700.0, "a.1", 0)]
+    table = score(late_answer, groups)
     assert (table.taken, table.tries, table.late, table.in_slo_time, table.service) == (1, 2, 1, 0, 0.1)
     table = score(
-        [sent(), seen.Answer(100.0, "a", 8), again, seen.Answer(550.0, "a.1", 0), sent("b"), seen.Answer(10.0, "b", 8)],
+        [
+            sent(),
+            seen.Answer(100.0, "a", 8),
+            repeat,
+            seen.Answer(550.0, "a.1", 0),
+            sent("b"),
+            seen.Answer(10.0, "b", 8),
+        ],
         groups,
     )
     assert (table.in_slo_time, table.shed, table.service) == (1, 1, 0.5)
 
 
-def test_notes_cut_off_by_a_kill_are_read_up_to_there():
+def test_notes_truncated_by_a_kill_are_read_up_to_the_truncation():
     lines = [seen.ENCODER.encode(sent()) + b"\n", seen.ENCODER.encode(OK)[:-4]]
     assert list(seen.read(lines)) == [sent()]
 
 
-def test_word_of_a_drain_is_of_the_process_it_names_and_of_every_one_where_it_names_none():
-    def late(boot, told_boot, *before):
-        came = seen.Came(9_000.0, "w", boot, 1, "a", 0, 50.0)
-        return [one.rule for one in judge([*before, seen.Told(5_000.0, 0, "w", told_boot, "draining"), came], FACTS)]
+def test_drain_report_applies_to_the_process_it_names_or_to_every_process_if_it_names_none():
+    def violated_rules(boot, reported_boot, *earlier):
+        arrival = seen.Came(9_000.0, "w", boot, 1, "a", 0, 50.0)
+        return [
+            violation.rule
+            for violation in judge([*earlier, seen.Told(5_000.0, 0, "w", reported_boot, "draining"), arrival], FACTS)
+        ]
 
-    new = seen.Told(1_000.0, 0, "w", "2", "in service")
-    assert late("1", "1") == [3] and late("2", "", new) == [3] and late("2", "2", new) == [3]
-    assert late("2", "1") == [3], "of the other process this controller was told nothing"
-    assert late("2", "1", new) == [], "an old copy of a roster speaks of the process before"
+    in_service = seen.Told(1_000.0, 0, "w", "2", "in service")
+    assert (
+        violated_rules("1", "1") == [3]
+        and violated_rules("2", "", in_service) == [3]
+        and violated_rules("2", "2", in_service) == [3]
+    )
+    assert violated_rules("2", "1") == [3], "this controller received no report about the other process"
+    assert violated_rules("2", "1", in_service) == [], "an old copy of a roster describes the previous process"
