--- a/sprucespool/judge/failover.py
+++ b/sprucespool/judge/failover.py
@@ -117,6 +117,7 @@
 
 
 def _check_cut_off(views: list[PlanView], bounds: FailoverBounds, verdict: FailoverVerdict):
+    """Invariant (g)."""
     for names, since, until in bounds.cut_off:
         for view in views:
             if view.by in names and since + bounds.unrenewed < view.t < until and view.epoch != NONE:
@@ -130,6 +131,7 @@
 
 
 def _check_epochs(views: list[PlanView], verdict: FailoverVerdict):
+    """Invariant (a)."""
     plans: dict[tuple[int, int], str] = {}
     newest: dict[tuple[str, int], tuple[int, int]] = {}
     for view in views:
@@ -149,7 +151,7 @@
 
 
 def _check_caps(views: list[PlanView], arrivals: list[Reached], bounds: FailoverBounds, verdict: FailoverVerdict):
-    """The caps in force at a time are those of the newest epoch that any controller has reported by then."""
+    """Invariant (b). The caps in force at a time are those of the newest epoch reported by then."""
     caps: list[tuple[float, dict[str, float]]] = []
     newest = NONE
     views_of: dict[str, list[PlanView]] = {}
@@ -200,6 +202,7 @@
 
 
 def _check_calm_crossings(first_forwards: list[Reached], bounds: FailoverBounds, verdict: FailoverVerdict):
+    """Invariant (c)."""
     calm = [arrival for arrival in first_forwards if bounds.calm_from <= arrival.t < bounds.calm_until]
     if not calm:
         return
@@ -215,6 +218,7 @@
 
 
 def _check_plan_changes(views: list[PlanView], bounds: FailoverBounds, verdict: FailoverVerdict):
+    """Invariant (e)."""
     first_reported_at: dict[tuple[int, int], float] = {}
     for view in views:
         if view.epoch != NONE:
@@ -234,6 +238,7 @@
 def _check_recovery(
     views: list[PlanView], first_forwards: list[Reached], bounds: FailoverBounds, end: float, verdict: FailoverVerdict
 ):
+    """Invariant (f)."""
     epochs: dict[str, tuple[int, int]] = {}
     same_since: float | None = None
     for view in views:
--- a/sprucespool/judge/fleet.py
+++ b/sprucespool/judge/fleet.py
@@ -120,6 +120,7 @@
     end: float,
     verdict: FleetVerdict,
 ):
+    """Invariant (a)."""
     if history.faults and (history.faults[-1].sides or history.faults[-1].held or history.faults[-1].uneven):
         return
     last_change_at = max(last_fault(history), max((report.t for report in reports), default=0.0))
@@ -148,6 +149,7 @@
 
 
 def _end_reports(reports: list[WasTold]) -> dict[tuple[str, str], list[WasTold]]:
+    """Groups the reports of draining or gone by process."""
     by_process: dict[tuple[str, str], list[WasTold]] = {}
     for report in reports:
         if report.boot and report.status in ("draining", "gone"):
@@ -158,6 +160,7 @@
 def _check_late_arrivals(
     history: History, reports: list[WasTold], reached: list[Reached], bounds: FleetBounds, verdict: FleetVerdict
 ):
+    """Invariant (b)."""
     end_reports = _end_reports(reports)
     for arrival in reached:
         if arrival.by in bounds.liars:
@@ -196,6 +199,7 @@
     bounds: FleetBounds,
     verdict: FleetVerdict,
 ):
+    """Invariant (c)."""
     boots: dict[str, list[str]] = {}
     for birth in births:
         boots.setdefault(birth.address, []).append(birth.boot)
--- a/sprucespool/judge/group.py
+++ b/sprucespool/judge/group.py
@@ -22,6 +22,8 @@
 
 
 class SeenRow(msgspec.Struct, array_like=True):
+    """The row of one member in a view."""
+
     name: str
     start: int
     state: str
@@ -80,6 +82,8 @@
 
 @dataclass(frozen=True, slots=True)
 class BrokenInvariant:
+    """A violation of invariant `which` at `at` ms."""
+
     which: str
     at: float
     what: str
@@ -132,6 +136,7 @@
 
 
 def read(events: Iterable[Happened]) -> History:
+    """Builds the history from recorded events."""
     history = History()
     for event in sorted(events, key=lambda event: event.t):
         if isinstance(event, Began):
@@ -165,6 +170,7 @@
 
 
 def last_fault(history: History) -> float:
+    """The time of the last fault, or of the last start, end or leave of a process."""
     times = [fault.t for fault in history.faults]
     times += [
         at for lifetime in history.lives for at in (lifetime.begun, lifetime.ended, lifetime.left) if at < float("inf")
@@ -173,6 +179,7 @@
 
 
 def _check_digests(history: History, bounds: Bounds, end: float, violations: list[BrokenInvariant]) -> float | None:
+    """Invariant (a); returns the ms from the last fault until the digests were equal."""
     last_fault_at = last_fault(history)
     if history.faults and (history.faults[-1].sides or history.faults[-1].held or history.faults[-1].uneven):
         return None
@@ -202,6 +209,7 @@
 
 
 def _check_states(history: History, bounds: Bounds, violations: list[BrokenInvariant]):
+    """Invariants (b), (c) and (e)."""
     by_start = {(lifetime.name, lifetime.start): lifetime for lifetime in history.lives if lifetime.start >= 0}
     for view in history.views:
         viewer = history.life(view.by, view.t)
@@ -241,6 +249,7 @@
 
 
 def _check_versions(history: History, violations: list[BrokenInvariant]):
+    """Invariant (d)."""
     highest: dict[tuple[str, int, str, int], tuple[int, int]] = {}
     for view in history.views:
         for row in view.rows:
@@ -259,7 +268,7 @@
 
 
 def _check_shares(history: History, violations: list[BrokenInvariant]):
-    """A share that two consecutive views of a process report alike counts as held between them."""
+    """Invariant (f). A share that two consecutive views of a process report alike counts as held between them."""
     steps: list[tuple[float, float]] = []
     last_view: dict[tuple[str, int], SeenView] = {}
     for view in history.views:
--- a/sprucespool/judge/rules.py
+++ b/sprucespool/judge/rules.py
@@ -31,6 +31,8 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupRule:
+    """The settings of a model group that rule 2 depends on."""
+
     effect: str
     scope: str = "all"
     dedup_window: float = 0.0
@@ -57,6 +59,8 @@
 
 @dataclass(frozen=True, slots=True)
 class BrokenRule:
+    """A violation of rule `rule` at `at` ms."""
+
     rule: int
     at: float
     what: str
@@ -115,6 +119,7 @@
 
 
 def _tries(events: list[Seen]) -> dict[str, _Try]:
+    """Collects the answers and forwards of each client try."""
     tries: dict[str, _Try] = {}
     forwards: dict[tuple[str, str, int], _Forward] = {}
     for event in events:
--- a/sprucespool/judge/score.py
+++ b/sprucespool/judge/score.py
@@ -11,6 +11,8 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupValue:
+    """SLO time (ms) of a model group, value of an answer in time, and fraction of it for a late answer."""
+
     slo_time: float
     value: float
     late_value: float
