--- a/sprucespool/daemon/failover.py
+++ b/sprucespool/daemon/failover.py
@@ -11,8 +11,8 @@
 
 from sprucespool import interface as it
 from sprucespool.daemon.fleet import FleetCarrier
-from sprucespool.daemon.group import FIGURES, GroupCarrier
-from sprucespool.daemon.request import parsed
+from sprucespool.daemon.group import LOAD_METRICS, GroupCarrier
+from sprucespool.daemon.request import parse_request
 from sprucespool.daemon.snapshots import SnapshotFile
 from sprucespool.failover import (
     Ballot,
@@ -45,9 +45,9 @@
 from sprucespool.wire import names
 from sprucespool.wire import platform_pb2 as platform
 
-# What a member tells beyond `group.FIGURES`: cores its inferences ask, free and bound to the region; cores that home
-# did for it, and the parts of what it sent home that came back, and in SLO time.
-MORE_FIGURES = ("free_cores", "bound_cores", "home_cores", "home_well", "home_soon")
+# What a member reports beyond `group.LOAD_METRICS`: cores that its inferences need, free and bound to the region; cores
+# that its own zone provided for it; the shares of forwards to its own zone that returned, and that did so in SLO time.
+FAILOVER_METRICS = ("free_cores", "bound_cores", "home_cores", "home_well", "home_soon")
 LOOK_EVERY = 0.25
 # Whether a command is in a plan that most voters have is looked at so often (seconds), for so long (ms).
 CONFIRM_EVERY, CONFIRM_WITHIN = 0.05, 8_000.0
@@ -142,9 +142,9 @@
         self.follows: dict[str, tuple[int, int]] = {}
         self.timer: asyncio.TimerHandle | None = None
         self.stopped = False
-        weigh, self.group.figures = group.weigh, (*FIGURES, *MORE_FIGURES)
-        group.weigh = lambda: (*weigh(), *self.meter.figures(self.now()))
-        group.ride_plan, group.on_plan = self._ride, self._heard
+        weigh, self.group.figures = group.measure_load, (*LOAD_METRICS, *FAILOVER_METRICS)
+        group.measure_load = lambda: (*weigh(), *self.meter.figures(self.now()))
+        group.failover_payload, group.on_plan = self._ride, self._heard
 
     def now(self) -> float:
         return self.loop.time() * 1000.0
@@ -248,8 +248,10 @@
         loaded = [Loaded(self.zone, *self.meter.figures(now), at=now)]
         size = len(self.group.figures)
         for row in self.others() if member is not None else ():
-            told, at = self.reports.of(now, row.name, row.figures[len(FIGURES) :] if len(row.figures) == size else ())
-            if len(told) == len(MORE_FIGURES):
+            told, at = self.reports.of(
+                now, row.name, row.figures[len(LOAD_METRICS) :] if len(row.figures) == size else ()
+            )
+            if len(told) == len(FAILOVER_METRICS):
                 free, bound, did, well, soon = told
                 loaded.append(Loaded(row.about.zone, free, bound, did, well, soon, row.name, at))
         return self.gauge.states(now, standing, loaded, self.failover.council.in_force(now))
@@ -392,7 +394,7 @@
         )
 
     def _drain(self, call: ServerCall, data: bytes):
-        asked = parsed(call, platform.DrainZoneRequest, data)
+        asked = parse_request(call, platform.DrainZoneRequest, data)
         if asked is None:
             return
         now, failover = self.now(), self.failover
--- a/sprucespool/daemon/fleet.py
+++ b/sprucespool/daemon/fleet.py
@@ -109,7 +109,7 @@
         self.written = self.loop.time()
         # Asks an invoker whether it is ready; `probed` hears of it.
         self.probe: Callable[[str], None] = lambda where: None
-        group.ride, group.on_note = self._ride, self._heard
+        group.fleet_payload, group.on_note = self._ride, self._heard
         group.on_event.append(self._member)
 
     def now(self) -> float:
--- a/sprucespool/daemon/door.py
+++ b/sprucespool/daemon/gateway_server.py
@@ -14,7 +14,7 @@
 from sprucespool.daemon.failover import FailoverCarrier
 from sprucespool.daemon.fleet import SHOWING, FleetCarrier
 from sprucespool.daemon.learning import Exchange
-from sprucespool.daemon.request import parsed
+from sprucespool.daemon.request import parse_request
 from sprucespool.gateway import Decider, Gateway, Recorder
 from sprucespool.gateway import messages as ms
 from sprucespool.grpc.events import Answered, Drained, Message, Reset
@@ -30,7 +30,7 @@
 from sprucespool.wire import platform_pb2 as platform
 from sprucespool.wire.peek import MalformedRequest, RequestFields, peek_request, wrap_stream_result
 
-LOOK_EVERY = 1.0
+CHECK_INTERVAL_SECONDS = 1.0
 
 
 @dataclass(slots=True, eq=False)
@@ -64,7 +64,7 @@
     due: float = 0.0
 
 
-class Door:
+class GatewayServer:
     """The gateway's port, and the methods that clients call."""
 
     def __init__(
@@ -78,13 +78,13 @@
         self.plan, self.log = plan, log
         self.loop = asyncio.get_running_loop()
         self.gateway = library(deployment(plan), plan.seed, self._effect, decider)
-        self.taker: Gateway | Recorder = Recorder(self.gateway, record) if record else self.gateway
-        self.turn = InputBatcher(self.taker.take, self._after)
+        self.input_sink: Gateway | Recorder = Recorder(self.gateway, record) if record else self.gateway
+        self.batch = InputBatcher(self.input_sink.take, self._after)
         self.models = ModelTable(plan.models)
         self.clients: dict[str, _Client] = {}
-        self.out: dict[int, _Out] = {}
+        self.in_flight: dict[int, _Out] = {}
         self.pools: dict[str, Pool] = {}
-        self.asked: dict[int, PoolCall] = {}
+        self.pending_requests: dict[int, PoolCall] = {}
         self.peers = {peer.number: peer.address for peer in plan.peers}
         # Forwards whose end is told: their results may be wanted until the gateway took it, and never after.
         self.ended: list[int] = []
@@ -96,9 +96,9 @@
         self.ready = False
         self.exchange: Exchange | None = None
         # What own forwards show of invokers, where a view in common is kept.
-        self.eyes: FleetCarrier | None = None
+        self.fleet: FleetCarrier | None = None
         # Which zones an inference may go to, where a plan of zones is followed.
-        self.steers: FailoverCarrier | None = None
+        self.failover: FailoverCarrier | None = None
         bounds, far = plan.bounds, plan.to_invokers
         self.far_limits = Limits(
             streams=far.streams,
@@ -122,13 +122,13 @@
             self.exchange = Exchange(
                 plan.learning,
                 plan.fleet.keep_alive,
-                self.tell,
+                self.add_input,
                 log,
                 self.about,
                 plan.seed * 17 + plan.controller.number,
                 source=plan.source,
             )
-        self.look = self.loop.call_later(LOOK_EVERY, self._look)
+        self.check_timer = self.loop.call_later(CHECK_INTERVAL_SECONDS, self._check)
         self.turned_away = 0
 
     def now(self) -> float:
@@ -136,10 +136,10 @@
 
     # Towards the gateway
 
-    def tell(self, given: ms.Input) -> None:
-        self.turn.add(given)
-        if isinstance(given, ms.Roster):
-            self._withdraw_from(given)
+    def add_input(self, item: ms.Input) -> None:
+        self.batch.add(item)
+        if isinstance(item, ms.Roster):
+            self._withdraw_from(item)
 
     def _withdraw_from(self, news: ms.Roster):
         """What waits for a connection to an invoker that drains or has left goes on elsewhere."""
@@ -153,7 +153,7 @@
     def _after(self):
         ended, self.ended = self.ended, []
         for number in ended:
-            self.out.pop(number, None)
+            self.in_flight.pop(number, None)
 
     def _effect(self, effect: ms.Effect):
         EFFECTS[type(effect)](self, effect)
@@ -187,7 +187,7 @@
         }
 
     def _model_ready(self, call: ServerCall, data: bytes):
-        asked = parsed(call, oip.ModelReadyRequest, data)
+        asked = parse_request(call, oip.ModelReadyRequest, data)
         if asked is not None:
             # Any model of a known group can be called; a load on demand is part of a call.
             facts = self.models.of(asked.name)
@@ -196,18 +196,18 @@
             call.finish(Status.OK)
 
     def _model_metadata(self, call: ServerCall, data: bytes):
-        asked = parsed(call, oip.ModelMetadataRequest, data)
+        asked = parse_request(call, oip.ModelMetadataRequest, data)
         if asked is not None:
             call.send(oip.ModelMetadataResponse(name=asked.name, platform="sprucespool").SerializeToString())
             call.finish(Status.OK)
 
     def _peer_told(self, call: ServerCall, data: bytes):
-        note = parsed(call, platform.PeerNote, data)
+        note = parse_request(call, platform.PeerNote, data)
         if note is None:
             return
         if not self.plan.peers:
             return call.finish(Status.PERMISSION_DENIED, "this controller has no peers")
-        self.tell(ms.PeerMessage(note.sender, note.payload))
+        self.add_input(ms.PeerMessage(note.sender, note.payload))
         call.send(platform.PeerHeard().SerializeToString())
         call.finish(Status.OK)
 
@@ -216,7 +216,7 @@
         if len(self.clients) >= bounds.calls or self.held + len(data) > bounds.held:
             self.turned_away += 1
             return call.finish(outcomes.SHED, "too much is held here", outcomes.pushback_metadata(wait))
-        if self.turn.lag > bounds.lag:
+        if self.batch.lag > bounds.lag:
             # Against a loop that falls behind: what it takes in now it would answer when nobody waits any more.
             self.turned_away += 1
             return call.finish(outcomes.SHED, "the controller is behind", outcomes.pushback_metadata(wait))
@@ -241,10 +241,10 @@
         )
         self.clients[client.id] = client
         self.held += len(data)
-        if self.steers is not None:
-            given.zones = self.steers.zones(given)
+        if self.failover is not None:
+            given.zones = self.failover.zones(given)
         call.on_cancelled = lambda: self._client_gone(client)
-        self.tell(given)
+        self.add_input(given)
 
     def _call_of(self, call: ServerCall, told: RequestFields, streamed: bool) -> ms.Call:
         """Raises ValueError with what was expected."""
@@ -281,7 +281,7 @@
         lanes = number(names.LANES, facts.lanes if facts else None)
         memory = number(names.MEMORY, facts.memory / 1e6 if facts and facts.memory else None)
         self.numbers += 1
-        waited = self.turn.pace.possible_wait_on_connection_ms(call.waited)
+        waited = self.batch.pace.possible_wait_on_connection_ms(call.waited)
         return ms.Call(
             f"{self.plan.controller.number}-{self.numbers}",
             name,
@@ -299,8 +299,8 @@
 
     def _client_gone(self, client: _Client):
         if self.clients.get(client.id) is client:
-            if not self.turn.withdraw(client.given):
-                self.tell(ms.Left(client.id))
+            if not self.batch.withdraw(client.given):
+                self.add_input(ms.Left(client.id))
             self._done(client, "left")
 
     def _done(self, client: _Client, how: str):
@@ -324,19 +324,19 @@
             host, port = address(name)
             # Each pool draws its own pauses, each controller other ones.
             seed = self.plan.seed * 1000 + self.plan.controller.number + len(self.pools) * 7919
-            self.pools[name] = Pool(host, port, self.far_limits, self.pool_limits, seed, self.turn.pace)
+            self.pools[name] = Pool(host, port, self.far_limits, self.pool_limits, seed, self.batch.pace)
         return self.pools[name]
 
     def _forward(self, effect: ms.SendForward):
         client = self.clients.get(effect.call)
         if client is None:
             # The client left in this very turn of the loop; its going is the next input.
-            return self.tell(ms.ForwardEnded(effect.forward, it.Outcome.NOT_SENT.value))
-        out = self.out[effect.forward] = _Out(client, invoker=effect.invoker, due=self.now() + effect.time_out)
-        if self.eyes is not None:
-            self.eyes.sent(effect.forward, effect.invoker)
-        if self.steers is not None:
-            self.steers.sent(effect.forward, effect.invoker, client.group)
+            return self.add_input(ms.ForwardEnded(effect.forward, it.Outcome.NOT_SENT.value))
+        out = self.in_flight[effect.forward] = _Out(client, invoker=effect.invoker, due=self.now() + effect.time_out)
+        if self.fleet is not None:
+            self.fleet.sent(effect.forward, effect.invoker)
+        if self.failover is not None:
+            self.failover.sent(effect.forward, effect.invoker, client.group)
         client.forwards.append(effect.invoker)
         metadata = {**self.about, **({names.PREVIOUS_ATTEMPTS: str(effect.attempt)} if effect.attempt else {})}
         out.sent = self.pool(effect.invoker).call(
@@ -344,7 +344,7 @@
         )
 
     def _heard(self, number: int, event: CallEvent):
-        out = self.out.get(number)
+        out = self.in_flight.get(number)
         if out is None:
             return
         if isinstance(event, Message):
@@ -354,7 +354,7 @@
             else:
                 out.results.append((event.data, event.size))
                 if out.client.path == names.MODEL_STREAM_INFER and out.count == 1:
-                    self.tell(ms.FirstResult(number))
+                    self.add_input(ms.FirstResult(number))
                 elif out.client.path == names.MODEL_INFER:
                     assert out.sent is not None
                     out.sent.consumed(event.size)
@@ -373,13 +373,13 @@
         self.ended.append(number)
         if self.debugging and outcome is not it.Outcome.RETURNED:
             self.log.debug("forward", call=out.client.id, invoker=out.invoker, end=outcome.value, told=str(event)[:200])
-        if self.eyes is not None:
-            self.eyes.ended(number, outcome, trailers)
-        if self.steers is not None:
-            self.steers.ended(number, outcome, found)
+        if self.fleet is not None:
+            self.fleet.ended(number, outcome, trailers)
+        if self.failover is not None:
+            self.failover.ended(number, outcome, found)
         if self.exchange is not None:
             self.exchange.ended(out.invoker, out.client.told.model, outcome, found)
-        self.tell(
+        self.add_input(
             ms.ForwardEnded(
                 number,
                 outcome.value,
@@ -401,20 +401,20 @@
             out.sent.consumed(size)
 
     def _recall(self, effect: ms.Recall):
-        out = self.out.pop(effect.forward, None)
+        out = self.in_flight.pop(effect.forward, None)
         if out is not None and out.sent is not None:
             out.sent.cancel()
-        if out is not None and self.eyes is not None:
+        if out is not None and self.fleet is not None:
             over = self.now() >= out.due - 1.0 and not out.streaming
             how = it.Outcome.TIMED_OUT if over else it.Outcome.CALLED_OFF
-            self.eyes.ended(effect.forward, how, {})
-            if self.steers is not None:
-                self.steers.ended(effect.forward, how, it.Found.UNTOLD)
+            self.fleet.ended(effect.forward, how, {})
+            if self.failover is not None:
+                self.failover.ended(effect.forward, how, it.Found.UNTOLD)
 
     # Answers
 
     def _returned(self, effect: ms.AnswerReturned):
-        client, out = self.clients.get(effect.call), self.out.pop(effect.forward, None)
+        client, out = self.clients.get(effect.call), self.in_flight.pop(effect.forward, None)
         if client is None or out is None:
             return
         for data, _ in out.results[:1]:
@@ -423,7 +423,7 @@
         self._done(client, "returned")
 
     def _stream_begun(self, effect: ms.StreamBegun):
-        out, client = self.out.get(effect.forward), self.clients.get(effect.call)
+        out, client = self.in_flight.get(effect.forward), self.clients.get(effect.call)
         if out is None or client is None:
             return
         out.streaming = True
@@ -440,7 +440,7 @@
 
     def _stream_ended(self, effect: ms.StreamEnded):
         client = self.clients.get(effect.call)
-        self.out.pop(effect.forward, None)
+        self.in_flight.pop(effect.forward, None)
         if client is None:
             return
         if effect.whole:
@@ -486,11 +486,11 @@
     ):
         def heard(event: CallEvent):
             if isinstance(event, Message):
-                self.asked[number].consumed(event.size)
+                self.pending_requests[number].consumed(event.size)
                 return
             if isinstance(event, Drained):
                 return
-            self.asked.pop(number, None)
+            self.pending_requests.pop(number, None)
             if isinstance(event, Answered):
                 ended(outcomes.of_answer(event.status, event.messages), event.trailers)
             elif isinstance(event, Reset):
@@ -498,13 +498,13 @@
             else:
                 ended(it.Outcome.UNCONNECTED if isinstance(event, Unconnected) else it.Outcome.RESET, {})
 
-        self.asked[number] = self.pool(invoker).call(path, dict(self.about), time_out, message, heard)
+        self.pending_requests[number] = self.pool(invoker).call(path, dict(self.about), time_out, message, heard)
 
     def _order(self, effect: ms.SendOrder):
         def ended(outcome: it.Outcome, trailers: Metadata):
             standing = outcomes.read_int(trailers, names.STANDING)
             stands = effect.copies if outcome is it.Outcome.RETURNED else 0
-            self.tell(ms.OrderEnded(effect.order, outcome.value, stands if standing is None else standing))
+            self.add_input(ms.OrderEnded(effect.order, outcome.value, stands if standing is None else standing))
 
         request = oip.RepositoryModelLoadRequest(model_name=effect.model)
         request.parameters[names.COPIES].int64_param = effect.copies
@@ -523,7 +523,7 @@
             names.SERVER_LIVE,
             b"",
             effect.time_out,
-            lambda outcome, trailers: self.tell(
+            lambda outcome, trailers: self.add_input(
                 ms.ProbeEnded(effect.probe, outcome.value, outcomes.read_report(trailers))
             ),
         )
@@ -532,8 +532,8 @@
         """For the view in common: which process stands there, if it tells."""
 
         def ended(outcome: it.Outcome, trailers: Metadata):
-            if outcome is it.Outcome.RETURNED and self.eyes is not None:
-                self.eyes.probed(invoker, trailers)
+            if outcome is it.Outcome.RETURNED and self.fleet is not None:
+                self.fleet.probed(invoker, trailers)
 
         self.numbers += 1
         self._ask(-self.numbers, invoker, names.SERVER_READY, b"", 500.0, ended)
@@ -551,16 +551,16 @@
             self.pools[effect.invoker].close_idle()
 
     def _beliefs(self, effect: ms.BeliefsGiven):
-        if effect.token == SHOWING and self.eyes is not None:
-            self.eyes.given(effect)
+        if effect.token == SHOWING and self.fleet is not None:
+            self.fleet.given(effect)
         elif self.exchange is not None:
             self.exchange.given(effect)
 
     def _note(self, effect: ms.Note):
         (self.log.error if effect.fault else self.log.info)("module", text=effect.text, call=effect.call)
 
-    def _look(self):
-        self.look = self.loop.call_later(LOOK_EVERY, self._look)
+    def _check(self):
+        self.check_timer = self.loop.call_later(CHECK_INTERVAL_SECONDS, self._check)
         for name, pool in list(self.pools.items()):
             pool.check()
             if pool.quiet and name not in self.gateway.invokers:
@@ -574,7 +574,7 @@
         while self.clients and self.loop.time() < end:
             await asyncio.sleep(0.01)
         if self.exchange is not None:
-            self.exchange.last_words(self.turn.flush)
+            self.exchange.write_last_snapshot(self.batch.flush)
         left = list(self.clients.values())
         for client in left:
             client.call.finish(outcomes.FAILED, "the controller shuts down")
@@ -586,8 +586,8 @@
         self.closed = True
         if self.exchange is not None:
             self.exchange.stop()
-        self.look.cancel()
-        self.turn.close()
+        self.check_timer.cancel()
+        self.batch.close()
         for pool in self.pools.values():
             pool.close()
 
@@ -605,22 +605,22 @@
 
 
 EFFECTS: dict[type, Callable] = {
-    ms.SendForward: Door._forward,
-    ms.Recall: Door._recall,
-    ms.AnswerReturned: Door._returned,
-    ms.StreamBegun: Door._stream_begun,
-    ms.StreamEnded: Door._stream_ended,
-    ms.AnswerShed: Door._shed,
-    ms.AnswerFailed: Door._failed,
-    ms.Rejected: Door._rejected,
-    ms.SendOrder: Door._order,
-    ms.SendUnload: Door._unload,
-    ms.SendProbe: Door._probe,
-    ms.CloseIdle: Door._close_idle,
-    ms.SendMessage: Door._message,
-    ms.WakeAt: lambda door, effect: door.turn.wake_at(effect.at),
-    ms.Note: Door._note,
-    ms.BeliefsGiven: Door._beliefs,
-    ms.SubscribeRoster: lambda door, effect: door.subscribe(effect.active),
-    ms.FetchRoster: lambda door, effect: door.fetch_roster(),
+    ms.SendForward: GatewayServer._forward,
+    ms.Recall: GatewayServer._recall,
+    ms.AnswerReturned: GatewayServer._returned,
+    ms.StreamBegun: GatewayServer._stream_begun,
+    ms.StreamEnded: GatewayServer._stream_ended,
+    ms.AnswerShed: GatewayServer._shed,
+    ms.AnswerFailed: GatewayServer._failed,
+    ms.Rejected: GatewayServer._rejected,
+    ms.SendOrder: GatewayServer._order,
+    ms.SendUnload: GatewayServer._unload,
+    ms.SendProbe: GatewayServer._probe,
+    ms.CloseIdle: GatewayServer._close_idle,
+    ms.SendMessage: GatewayServer._message,
+    ms.WakeAt: lambda server, effect: server.batch.wake_at(effect.at),
+    ms.Note: GatewayServer._note,
+    ms.BeliefsGiven: GatewayServer._beliefs,
+    ms.SubscribeRoster: lambda server, effect: server.subscribe(effect.active),
+    ms.FetchRoster: lambda server, effect: server.fetch_roster(),
 }
--- a/sprucespool/daemon/group.py
+++ b/sprucespool/daemon/group.py
@@ -27,7 +27,7 @@
 
 BUILD = "0.2"
 # What a member tells of its load and capacity, in this order.
-FIGURES = ("taken_a_second", "shed_a_second", "owed", "may_owe", "lag_ms", "cpu")
+LOAD_METRICS = ("taken_a_second", "shed_a_second", "owed", "may_owe", "lag_ms", "cpu")
 # What rides on a message at the most.
 MOST_NOTE = 262_144
 # Seconds for others to ask a leaver for its part before its last words, at the most; how often it looks whether they
@@ -105,13 +105,13 @@
         self.refused: dict[str, int] = {}
         self.looked = 0.0
         # What rides on each message, of the fleet's view and of plans; who hears of what rode on one or came alone.
-        self.ride: Callable[[], bytes] = bytes
+        self.fleet_payload: Callable[[], bytes] = bytes
         self.on_note: Callable[[bytes], None] = lambda data: None
-        self.ride_plan: Callable[[], bytes] = bytes
+        self.failover_payload: Callable[[], bytes] = bytes
         self.on_plan: Callable[[bytes], None] = lambda data: None
         # Own load and capacity now, in the order of `figures`.
-        self.figures: tuple[str, ...] = FIGURES
-        self.weigh: Callable[[], tuple[float, ...]] = tuple
+        self.figures: tuple[str, ...] = LOAD_METRICS
+        self.measure_load: Callable[[], tuple[float, ...]] = tuple
 
     def now(self) -> float:
         return self.loop.time() * 1000.0
@@ -138,7 +138,7 @@
         self._do(self.group.tick(self.now()))
         if self.loop.time() - self.looked > 1.0:
             self.looked = self.loop.time()
-            self.group.update_figures(self.now(), self.weigh())
+            self.group.update_figures(self.now(), self.measure_load())
             for where, pool in list(self.pools.items()):
                 pool.check()
                 if pool.quiet:
@@ -187,7 +187,7 @@
         self._post(
             say.to,
             platform.MemberMessage(
-                message=self.codec.encode(say.message), fleet=self.ride(), failover=self.ride_plan()
+                message=self.codec.encode(say.message), fleet=self.fleet_payload(), failover=self.failover_payload()
             ),
         )
 
--- a/sprucespool/daemon/learning.py
+++ b/sprucespool/daemon/learning.py
@@ -9,7 +9,7 @@
 from google.protobuf.message import DecodeError
 
 from sprucespool import interface as it
-from sprucespool.daemon.request import parsed
+from sprucespool.daemon.request import parse_request
 from sprucespool.daemon.snapshots import SnapshotFile
 from sprucespool.gateway import messages as ms
 from sprucespool.grpc.events import Answered, Message
@@ -33,9 +33,9 @@
 from sprucespool.wire import names
 from sprucespool.wire import platform_pb2 as platform
 
-LOOK_EVERY = 0.1
+CHECK_INTERVAL_SECONDS = 0.1
 # Rows in a page for others, whatever they ask for.
-MOST_ROWS = 500
+MAX_PAGE_ROWS = 500
 SERVING = it.Status.IN_SERVICE.value
 
 
@@ -46,7 +46,7 @@
         self,
         plan: Learning,
         keep_alive: float,
-        tell: Callable[[ms.Input], None],
+        add_input: Callable[[ms.Input], None],
         log: Any,
         about: Metadata,
         seed: int,
@@ -54,13 +54,13 @@
         source: str = "",
     ):
         self.source = source
-        self.plan, self.tell, self.log, self.about = plan, tell, log, about
+        self.plan, self.add_input, self.log, self.about = plan, add_input, log, about
         self.wall = wall or AnchoredClock().unix
         self.loop = asyncio.get_running_loop()
-        self.newcomer = JoiningController(
+        self.joining = JoiningController(
             [source.address for source in plan.sources], keep_alive, JoiningLimits(total_timeout=plan.within)
         )
-        self.teller = PageBuilder()
+        self.page_builder = PageBuilder()
         self.pools: dict[str, Pool] = {}
         self.seed = seed
         self.token = 0
@@ -69,7 +69,7 @@
         self.snapshot_due = self.loop.time() + plan.snapshot_every / 1000.0
         self.writing = False
         self.timer: asyncio.TimerHandle | None = None
-        self.told = self.taken_back = 0
+        self.claims_reported = self.claims_withdrawn = 0
 
     def now(self) -> float:
         return self.loop.time() * 1000.0
@@ -77,8 +77,8 @@
     def start(self) -> None:
         if self.file is not None:
             self._restore(self.file, self.wall() * 1000.0)
-        self._do(self.newcomer.start(self.now()))
-        self._look()
+        self._do(self.joining.start(self.now()))
+        self._check()
 
     def _restore(self, file: SnapshotFile, wall_ms: float):
         data = file.read()
@@ -93,11 +93,11 @@
             return file.refuse(str(problem))
         age = wall_ms - written_at
         self.log.info("snapshot read", rows=len(rows), age_ms=round(age))
-        self._do(self.newcomer.snapshot(self.now(), rows, age))
+        self._do(self.joining.snapshot(self.now(), rows, age))
 
-    def _look(self):
-        self.timer = self.loop.call_later(LOOK_EVERY, self._look)
-        self._do(self.newcomer.check(self.now()))
+    def _check(self):
+        self.timer = self.loop.call_later(CHECK_INTERVAL_SECONDS, self._check)
+        self._do(self.joining.check(self.now()))
         if self.file is not None and self.loop.time() >= self.snapshot_due and not self.writing:
             self.snapshot_due = self.loop.time() + self.plan.snapshot_every / 1000.0
             self.writing = True
@@ -109,12 +109,12 @@
             if isinstance(step, ReportClaim):
                 one = step.claim
                 claims.append(ms.Claim(one.invoker, one.boot, one.model, one.copies, one.lanes, step.lifetime))
-                self.told += step.lifetime > 0
-                self.taken_back += step.lifetime <= 0
+                self.claims_reported += step.lifetime > 0
+                self.claims_withdrawn += step.lifetime <= 0
             else:
                 self._ask(step)
         if claims:
-            self.tell(ms.Told(claims))
+            self.add_input(ms.Told(claims))
 
     # What the daemon sees pass by
 
@@ -123,20 +123,20 @@
         gone = [row.invoker for row in given.rows if row.status != SERVING]
         if given.kind in (it.News.REPLACE.value, it.News.RESTORED.value):
             named = {invoker for invoker, _ in serving}
-            gone += [invoker for invoker in self.newcomer.boots if invoker not in named]
+            gone += [invoker for invoker in self.joining.boots if invoker not in named]
         # After the module heard of it: it must know an invoker before anything is told of it.
-        self.loop.call_soon(lambda: self._do(self.newcomer.roster_changed(self.now(), serving, gone)))
+        self.loop.call_soon(lambda: self._do(self.joining.roster_changed(self.now(), serving, gone)))
 
     def ended(self, invoker: str, model: str, outcome: it.Outcome, found: it.Found) -> None:
-        if not self.newcomer.untested:
+        if not self.joining.untested:
             return
         how = found.value if outcome is it.Outcome.RETURNED else "miss" if outcome is it.Outcome.MISS else None
-        self._do(self.newcomer.forward_ended(self.now(), invoker, model, how))
+        self._do(self.joining.forward_ended(self.now(), invoker, model, how))
 
     def member(self, address: str) -> None:
         """The group told of a member that is there: it may be asked."""
         if self.plan.members:
-            self._do(self.newcomer.add_source(self.now(), address))
+            self._do(self.joining.add_source(self.now(), address))
 
     # Asking
 
@@ -164,7 +164,7 @@
             elif isinstance(event, FINAL_EVENTS):
                 self._asked(step, event, got)
 
-        limit = self.newcomer.limits.page_timeout
+        limit = self.joining.limits.page_timeout
         call = self._pool(step.source).call(names.LEARNING_PAGE, self.about, limit, request, heard)
         # A source that accepts and never answers.
         self.loop.call_later(limit / 1000.0 + 0.05, call.cancel)
@@ -175,12 +175,12 @@
             try:
                 reply = platform.PageReply.FromString(got[0])
                 rows, _ = decode(reply.page)
-                return self._do(self.newcomer.page_received(self.now(), step.source, rows, reply.more))
+                return self._do(self.joining.page_received(self.now(), step.source, rows, reply.more))
             except (DecodeError, CodecError) as problem:
                 why = str(problem)
         why = why or str(event)[:200]
         self.log.warning("source lost", source=step.source, why=why)
-        self._do(self.newcomer.source_failed(self.now(), step.source, why))
+        self._do(self.joining.source_failed(self.now(), step.source, why))
 
     # Answering
 
@@ -190,27 +190,27 @@
     def _page(self, call: ServerCall, data: bytes):
         if not self.plan.answer:
             return call.finish(Status.PERMISSION_DENIED, "this controller tells nothing")
-        asked = parsed(call, platform.PageRequest, data)
+        asked = parse_request(call, platform.PageRequest, data)
         if asked is None:
             return
-        self.waiting.append((call, asked.cursor, max(1, min(MOST_ROWS, asked.most or MOST_ROWS))))
+        self.waiting.append((call, asked.cursor, max(1, min(MAX_PAGE_ROWS, asked.most or MAX_PAGE_ROWS))))
         # Pages after the first go by the rows that the first was cut from.
-        if asked.cursor == 0 and self.teller.stale(self.now()):
+        if asked.cursor == 0 and self.page_builder.stale(self.now()):
             self._ask_module()
         else:
             self._answer_waiting()
 
     def _ask_module(self):
         self.token += 1
-        self.tell(ms.BeliefsAsked(self.token))
+        self.add_input(ms.BeliefsAsked(self.token))
 
     def given(self, effect: ms.BeliefsGiven) -> None:
         """The module's beliefs, asked for a page or for a snapshot."""
         now = self.now()
-        self.teller.rebuild(
+        self.page_builder.rebuild(
             now,
             ((one.invoker, one.boot, one.model, one.copies, one.lanes, one.age, one.own) for one in effect.known),
-            self.newcomer.untested_claim,
+            self.joining.untested_claim,
         )
         if self.writing and self.file is not None:
             self.writing = False
@@ -218,13 +218,13 @@
         self._answer_waiting()
 
     def snapshot_bytes(self) -> bytes:
-        rows, _ = self.teller.page(self.now(), 0, len(self.teller.rows))
+        rows, _ = self.page_builder.page(self.now(), 0, len(self.page_builder.rows))
         return encode(rows, self.wall() * 1000.0)
 
     def _answer_waiting(self):
         waiting, self.waiting = self.waiting, []
         for call, cursor, most in waiting:
-            rows, more = self.teller.page(self.now(), cursor, most)
+            rows, more = self.page_builder.page(self.now(), cursor, most)
             call.send(platform.PageReply(page=encode(rows), more=more).SerializeToString())
             call.finish(Status.OK)
 
@@ -234,7 +234,7 @@
         for pool in self.pools.values():
             pool.close()
 
-    def last_words(self, take: Callable[[], None]) -> None:
+    def write_last_snapshot(self, take: Callable[[], None]) -> None:
         """At SIGTERM: one more snapshot, of what is believed now. `take` has the gateway take what waits."""
         if self.file is not None:
             self.writing = True
--- a/sprucespool/daemon/logs.py
+++ b/sprucespool/daemon/logs.py
@@ -31,8 +31,8 @@
             pass
 
 
-def opened(level: str, file: str | None, **always: Any) -> Any:
-    """A logger. `file` None writes to standard error. Raises OSError where the file can't be opened."""
+def open_log(level: str, file: str | None, **always: Any) -> Any:
+    """A logger. `file` None writes to standard error. Raises OSError where the file can't be open_log."""
     sink = _Sink(open(file, "a", buffering=1) if file else sys.stderr)
     encoder = msgspec.json.Encoder(enc_hook=str)
     return structlog.wrap_logger(
--- a/sprucespool/daemon/request.py
+++ b/sprucespool/daemon/request.py
@@ -10,7 +10,7 @@
 from sprucespool.wire import outcomes
 
 
-def parsed(call: ServerCall, kind: Any, data: bytes) -> Any:
+def parse_request(call: ServerCall, kind: Any, data: bytes) -> Any:
     """The message, or None where it can't be read: the call is then answered with the status of malformed ones."""
     try:
         return kind.FromString(data)
--- a/sprucespool/daemon/serve.py
+++ b/sprucespool/daemon/serve.py
@@ -12,11 +12,11 @@
 from typing import Any
 
 from sprucespool import interface as it
-from sprucespool.daemon.door import Door
+from sprucespool.daemon.gateway_server import GatewayServer
 from sprucespool.daemon.failover import FailoverCarrier
 from sprucespool.daemon.fleet import FleetCarrier
 from sprucespool.daemon.group import GroupCarrier
-from sprucespool.daemon.logs import opened
+from sprucespool.daemon.logs import open_log
 from sprucespool.daemon.roster import RosterFile, RosterWatch
 from sprucespool.failover import Failover, Steer
 from sprucespool.fleet import Fleet
@@ -29,25 +29,25 @@
 from sprucespool.transport.listener import Listener, Server
 
 
-class Weighing:
-    """Load and capacity of this process since it was last asked, in the order of `group.FIGURES`."""
+class LoadMeter:
+    """Load and capacity of this process since it was last asked, in the order of `group.LOAD_METRICS`."""
 
-    def __init__(self, door: Door):
-        self.door = door
-        self.before = door.now(), 0, 0, time.process_time()
+    def __init__(self, server: GatewayServer):
+        self.server = server
+        self.before = server.now(), 0, 0, time.process_time()
 
-    def figures(self) -> tuple[float, ...]:
-        door, counts = self.door, self.door.gateway.counts
+    def values(self) -> tuple[float, ...]:
+        server, counts = self.server, self.server.gateway.counts
         at, taken, shed, cpu = self.before
-        now, shed_now = door.now(), counts.shed + door.turned_away
+        now, shed_now = server.now(), counts.shed + server.turned_away
         self.before = now, counts.taken, shed_now, time.process_time()
         span = max(1.0, now - at) / 1000.0
         return (
             round((counts.taken - taken) / span, 1),
             round((shed_now - shed) / span, 1),
-            float(len(door.clients)),
-            float(door.plan.bounds.calls),
-            round(door.turn.lag, 1),
+            float(len(server.clients)),
+            float(server.plan.bounds.calls),
+            round(server.batch.lag, 1),
             round((self.before[3] - cpu) / span, 3),
         )
 
@@ -68,27 +68,27 @@
     ):
         self.plan, self.log = plan, log
         self.sink = open(plan.record, "wb") if plan.record else None
-        self.door = Door(plan, log, self.sink, decider, library)
+        self.server = GatewayServer(plan, log, self.sink, decider, library)
         self.group: GroupCarrier | None = None
         if plan.group is not None:
-            self.group = GroupCarrier(plan, plan.group, self.door.tell, log, self.door.about, member)
+            self.group = GroupCarrier(plan, plan.group, self.server.add_input, log, self.server.about, member)
             self.group.on_event.append(self._member)
-            self.group.weigh = Weighing(self.door).figures
+            self.group.measure_load = LoadMeter(self.server).values
         self.fleet: FleetCarrier | None = None
         if plan.fleet_view is not None and plan.group is not None and self.group is not None:
-            self.fleet = self.door.eyes = FleetCarrier(
+            self.fleet = self.server.fleet = FleetCarrier(
                 plan, plan.fleet_view, plan.group, self.group, self._told, log, view
             )
-            self.fleet.probe = self.door.ask_ready
+            self.fleet.probe = self.server.ask_ready
         self.failover: FailoverCarrier | None = None
         if plan.failover is not None and self.group is not None and self.fleet is not None:
-            self.failover = self.door.steers = FailoverCarrier(
+            self.failover = self.server.failover = FailoverCarrier(
                 plan, plan.failover, self.group, self.fleet, log, failover, steer
             )
         bounds = plan.bounds
         self.listener = Listener(
             {
-                **self.door.methods(),
+                **self.server.methods(),
                 **(self.group.methods() if self.group else {}),
                 **(self.fleet.methods() if self.fleet else {}),
                 **(self.failover.methods() if self.failover else {}),
@@ -104,8 +104,8 @@
                 half_received=bounds.half_received,
             ),
         )
-        # The listener hears from the door how late the loop is.
-        self.listener.acceptor.possible_wait_ms = self.door.turn.pace.possible_wait_ms
+        # The listener hears from the server how late the loop is.
+        self.listener.acceptor.possible_wait_ms = self.server.batch.pace.possible_wait_ms
         tell = self._roster_told
         self.roster: RosterFile | RosterWatch
         if plan.roster.watch is not None:
@@ -115,16 +115,16 @@
                 tell,
                 log,
                 plan.seed * 31 + plan.controller.number,
-                dict(self.door.about),
+                dict(self.server.about),
                 plan.source,
             )
             if self.fleet is not None:
                 self.roster.on_lost = self.fleet.roster_lost
-            self.door.fetch_roster = self.roster.fetch
+            self.server.fetch_roster = self.roster.fetch
         else:
             assert plan.roster.file is not None
             self.roster = RosterFile(plan.roster.file, tell, log)
-        self.door.subscribe = self.roster.subscribe
+        self.server.subscribe = self.roster.subscribe
 
     def _roster_told(self, given: ms.Input):
         if self.fleet is not None and isinstance(given, ms.Roster):
@@ -133,23 +133,23 @@
         self._told(given)
 
     def _told(self, given: ms.Input):
-        self.door.ready = self.door.ready or isinstance(given, ms.Roster)
-        self.door.tell(given)
-        if self.door.exchange is not None and isinstance(given, ms.Roster):
-            self.door.exchange.roster(given)
+        self.server.ready = self.server.ready or isinstance(given, ms.Roster)
+        self.server.add_input(given)
+        if self.server.exchange is not None and isinstance(given, ms.Roster):
+            self.server.exchange.roster(given)
 
     def _member(self, event: Event):
-        if self.door.exchange is not None and event.row is not None and event.kind in ("joined", "restarted"):
-            self.door.exchange.member(event.row.address)
+        if self.server.exchange is not None and event.row is not None and event.kind in ("joined", "restarted"):
+            self.server.exchange.member(event.row.address)
 
     async def start(self) -> int:
         """Gives the port. Raises OSError where the address can't be had."""
         host, port = loopback(self.plan.listen)
         found = await self.listener.start(host, port)
-        self.door.tell(ms.Roster(it.News.RESTORED.value))
+        self.server.add_input(ms.Roster(it.News.RESTORED.value))
         self.roster.start()
-        if self.door.exchange is not None:
-            self.door.exchange.start()
+        if self.server.exchange is not None:
+            self.server.exchange.start()
         if self.group is not None:
             self.group.start(f"{host}:{found}")
         if self.fleet is not None:
@@ -160,12 +160,12 @@
 
     async def stop(self, timeout: float) -> int:
         """No new calls, owed answers given; gives how many were failed for want of time."""
-        self.door.leaving = True
+        self.server.leaving = True
         # Those of the group are heard to the end: a controller that drains is not one that is silent.
         self.listener.go_away(frozenset(self.group.methods()) if self.group is not None else frozenset())
         if self.group is not None:
             self.group.draining()
-        left = await self.door.stop(timeout)
+        left = await self.server.stop(timeout)
         if self.group is not None:
             await self.group.leave()
         await self.listener.drain(500.0)
@@ -180,10 +180,10 @@
             self.fleet.stop()
         if self.group is not None:
             self.group.stop()
-        self.door.close()
+        self.server.close()
         self.listener.close()
-        if isinstance(self.door.taker, Recorder):
-            self.door.taker.close()
+        if isinstance(self.server.input_sink, Recorder):
+            self.server.input_sink.close()
 
 
 async def _serve(
@@ -196,7 +196,7 @@
     steer: type[Steer],
 ) -> int:
     loop = asyncio.get_running_loop()
-    log = opened(plan.log.level, plan.log.file, controller=plan.controller.number)
+    log = open_log(plan.log.level, plan.log.file, controller=plan.controller.number)
     daemon = Daemon(plan, log, decider, library, member, view, failover, steer)
     try:
         port = await daemon.start()
@@ -217,19 +217,19 @@
     gc.freeze()
     gc.set_threshold(50_000, 20, 100)
     await ending.wait()
-    log.info("stopping", owed=daemon.door.gateway.owed)
+    log.info("stopping", owed=daemon.server.gateway.owed)
     stopping = loop.create_task(daemon.stop(plan.stop_within))
     hurry = loop.create_task(at_once.wait())
     await asyncio.wait({stopping, hurry}, return_when=asyncio.FIRST_COMPLETED)
-    left = stopping.result() if stopping.done() else len(daemon.door.clients)
+    left = stopping.result() if stopping.done() else len(daemon.server.clients)
     hurry.cancel()
     stopping.cancel()
     daemon.close()
     counts = {
         "controller": plan.controller.number,
         "failed_at_the_end": left,
-        "turned_away": daemon.door.turned_away,
-        **daemon.door.gateway.counts.as_dict(),
+        "turned_away": daemon.server.turned_away,
+        **daemon.server.gateway.counts.as_dict(),
     }
     log.info("stopped", **counts)
     print(f"stopped {json.dumps(counts)}", flush=True)
--- a/tests/program.py
+++ b/tests/program.py
@@ -20,7 +20,7 @@
 from sprucespool.standin.invoker import InvokerPlan, StandIn
 from sprucespool.wire import inference_pb2 as oip
 
-SILENT = structlog.wrap_logger(structlog.ReturnLogger(), wrapper_class=structlog.make_filtering_bound_logger(50))
+SILENT_LOG = structlog.wrap_logger(structlog.ReturnLogger(), wrapper_class=structlog.make_filtering_bound_logger(50))
 SETTINGS = """
 listen "127.0.0.1:0"
 roster file="{roster}"
@@ -88,7 +88,7 @@
         plan.bounds.lag = max(plan.bounds.lag, 5_000.0)
 
         async def start():
-            daemon = Daemon(plan, SILENT, **({"decider": decider} if decider else {}))
+            daemon = Daemon(plan, SILENT_LOG, **({"decider": decider} if decider else {}))
             daemon.port = await daemon.start()
             await asyncio.sleep(0.01)
             return daemon
@@ -96,7 +96,7 @@
         return self.run(start())
 
 
-def played(path, decider="hiku") -> dict:
+def run_day(path, decider="hiku") -> dict:
     """A day in a process of its own, its relays with it: figures as `sprucespool day --json` tells them."""
     command = [sys.executable, "-m", "sprucespool.cli.main", "day", str(path), "--json", "--decider", decider]
     day = subprocess.run(command, capture_output=True, text=True, timeout=300)
@@ -104,13 +104,13 @@
     return json.loads(day.stdout.splitlines()[-1])
 
 
-def told_of(path, build: str, part: str) -> dict:
+def run_broken_build_day(path, build: str, part: str) -> dict:
     """Figures of a broken build's day, played up to three times until its judge (`part`: fleet, failover) tells the
     invariant that the build is named by. Seen once, two such days at once came through on a machine that was taken away
     meanwhile, and 24 plays after it were told: a sound build is never told, however often it is played."""
     which = f"({build.rpartition('-')[2]})"
     for _ in range(3):
-        found = played(path, build)
+        found = run_day(path, build)
         if any(one.startswith(which) for one in found[part]["invariants_broken"]):
             break
     return found
@@ -132,7 +132,7 @@
     return message.SerializeToString()
 
 
-def raw(port: int, data: bytes, wait: float = 0.4) -> bytes:
+def send_raw(port: int, data: bytes, wait: float = 0.4) -> bytes:
     """Send bytes as they are and give what comes back until the peer closes or some time has gone."""
     with socket.create_connection(("127.0.0.1", port), timeout=5) as conn:
         with contextlib.suppress(OSError):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -11,7 +11,7 @@
 from platform_scene import ChannelStandIn, InvokerStandIn, RawClient, Scene, entry, event, hit, run_scene, until
 from platform_world import SETTINGS, frame, request_frame, settings_of_all_effects
 
-from sprucespool.daemon.door import Door
+from sprucespool.daemon.gateway_server import GatewayServer
 from sprucespool.gateway import messages as ms
 from sprucespool.grpc.status import Limits
 from sprucespool.transport.plan import PoolLimits
@@ -621,12 +621,12 @@
 
 def test_news_of_a_drain_reach_the_pools_of_the_door():
     withdrawn = []
-    door = Door.__new__(Door)
-    door.pools = {
+    server = GatewayServer.__new__(GatewayServer)
+    server.pools = {
         name: SimpleNamespace(withdraw_waiting=lambda why, name=name: withdrawn.append(name)) for name in "abc"
     }
-    door.turn = SimpleNamespace(add=lambda given: None)
-    door.tell(ms.Roster("update", 1, [ms.Row("a", status="draining"), ms.Row("b"), ms.Row("x", status="gone")]))
+    server.batch = SimpleNamespace(add=lambda given: None)
+    server.add_input(ms.Roster("update", 1, [ms.Row("a", status="draining"), ms.Row("b"), ms.Row("x", status="gone")]))
     assert withdrawn == ["a"]
-    door.tell(ms.Roster("replace", 2, [ms.Row("b")]))
+    server.add_input(ms.Roster("replace", 2, [ms.Row("b")]))
     assert withdrawn == ["a", "a", "c"]
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -77,7 +77,7 @@
 
 
 def counts(stage, daemon) -> Counts:
-    return stage.call(lambda: daemon.door.gateway.counts)
+    return stage.call(lambda: daemon.server.gateway.counts)
 
 
 def failed(call, *args, **over):
@@ -242,7 +242,7 @@
             assert began.wait(2)
             call.cancel()
             assert gone.wait(2)
-        assert counts(stage, daemon).left == 1 and stage.call(lambda: daemon.door.gateway.owed) == 0
+        assert counts(stage, daemon).left == 1 and stage.call(lambda: daemon.server.gateway.owed) == 0
 
 
 def test_streamed_results_come_as_they_are_made_and_a_break_names_how_many(stage, tmp_path):
@@ -349,7 +349,7 @@
     def listed(expected):
         deadline = time.monotonic() + 3
         while time.monotonic() < deadline:
-            pods = stage.call(lambda: sorted(pod.entry.invoker.name for pod in daemon.door.gateway.module.workers))
+            pods = stage.call(lambda: sorted(pod.entry.invoker.name for pod in daemon.server.gateway.module.workers))
             if pods == expected:
                 return True
             time.sleep(0.05)
@@ -371,8 +371,8 @@
     live = []
 
     def listen():
-        port = daemon.door.gateway.port
-        daemon.door.gateway.port = lambda effect: (live.append(effect), port(effect))
+        port = daemon.server.gateway.port
+        daemon.server.gateway.port = lambda effect: (live.append(effect), port(effect))
 
     stage.call(listen)
     with channel(daemon) as line:
@@ -424,7 +424,7 @@
     with channel(daemon) as line:
         line.unary_unary(INFER)(request(), timeout=3)
     time.sleep(0.4)
-    module, other = daemon.door.gateway.module, peer.door.gateway.module
+    module, other = daemon.server.gateway.module, peer.server.gateway.module
 
     def found(kind, heard=None):
         return [event for event in heard or module.heard if isinstance(event, kind)]
--- a/tests/test_drills.py
+++ b/tests/test_drills.py
@@ -8,7 +8,7 @@
 
 import grpc
 import pytest
-from program import Stage, raw, request
+from program import Stage, request, send_raw
 from test_link import GRPC, HELLO, Encoder, frame
 
 from sprucespool.wire import names
@@ -81,10 +81,10 @@
     rng = random.Random(5)
     for n in range(30):
         data = rng.randbytes(rng.randint(1, 3000))
-        raw(served[1].port, data if n % 2 else HELLO + data, wait=0.05)
+        send_raw(served[1].port, data if n % 2 else HELLO + data, wait=0.05)
     for cut in (1, 10, 24, 30, 40):
-        raw(served[1].port, (HELLO + frame(1, 4, 1, Encoder().encode(GRPC)))[:cut], wait=0.05)
-    assert b"expected the HTTP/2 preface" in raw(served[1].port, b"GET / HTTP/1.1\r\nhost: x\r\n\r\n")
+        send_raw(served[1].port, (HELLO + frame(1, 4, 1, Encoder().encode(GRPC)))[:cut], wait=0.05)
+    assert b"expected the HTTP/2 preface" in send_raw(served[1].port, b"GET / HTTP/1.1\r\nhost: x\r\n\r\n")
 
 
 def test_floods_are_answered_with_a_goaway(served):
@@ -92,7 +92,7 @@
     resets = b"".join(frame(1, 4, n, block) + frame(3, 0, n, b"\0\0\0\x08") for n in range(1, 2001, 2))
     headers = frame(1, 0, 1, b"\x00\x01a\x01b" * 3000) + frame(9, 0, 1, b"\x00\x01a\x01b" * 3000) * 100
     for flood in (resets, headers, frame(6, 0, 0, bytes(8)) * 5000, frame(4, 0, 0) * 5000):
-        received = raw(served[1].port, HELLO + flood, wait=1.0)
+        received = send_raw(served[1].port, HELLO + flood, wait=1.0)
         assert b"\x07\x00\x00\x00\x00\x00" in received
 
 
@@ -112,7 +112,7 @@
                 if not any(unsent) and time.monotonic() > deadline - 3:
                     break
         assert stage.call(lambda: sum(peer.link.unsent for peer in daemon.listener.peers)) == 0
-    assert stage.call(lambda: len(daemon.door.clients)) == 0
+    assert stage.call(lambda: len(daemon.server.clients)) == 0
 
 
 def test_silent_connections_are_closed_and_those_above_the_limit_refused(served):
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -12,7 +12,7 @@
 from sprucespool import interface as it
 from sprucespool.daemon import snapshots
 from sprucespool.daemon.failover import FailoverCarrier
-from sprucespool.daemon.logs import opened
+from sprucespool.daemon.logs import open_log
 from sprucespool.daemon.snapshots import SnapshotFile
 from sprucespool.failover import Ballot, Keep, Seats, Tell
 from sprucespool.failover.codec import SaidError, ballot, kept
@@ -190,4 +190,4 @@
 def test_logs_that_cant_be_written_take_nothing_else_with_them(monkeypatch):
     monkeypatch.setattr("sys.stderr", Unwritable())
     Log("debug").error("x", why="y")
-    opened("info", None).error("x")
+    open_log("info", None).error("x")
--- a/tests/test_failover_sockets.py
+++ b/tests/test_failover_sockets.py
@@ -8,7 +8,7 @@
 from concurrent.futures import ThreadPoolExecutor
 
 import pytest
-from program import Stage, played, told_of, wait_until
+from program import Stage, run_broken_build_day, run_day, wait_until
 
 from sprucespool.cli.zones import drain, fetch
 
@@ -105,7 +105,7 @@
         )
         + {**CASES, **BROKEN}[name]
     )
-    return name, told_of(path, name, "failover") if broken else played(path)
+    return name, run_broken_build_day(path, name, "failover") if broken else run_day(path)
 
 
 @pytest.fixture(scope="module")
@@ -288,7 +288,7 @@
     standin = stage.invoker()
     (tmp_path / "one").mkdir()
     one = stage.controller(tmp_path / "one", [standin.name], 'group "g" mark="m" { period "200ms" }\nfleet-view')
-    assert one.failover is None and stage.call(one.group.ride_plan) == b"" and one.door.steers is None
+    assert one.failover is None and stage.call(one.group.failover_payload) == b"" and one.server.failover is None
 
 
 def test_a_look_that_goes_wrong_is_not_the_last(stage, tmp_path):
--- a/tests/test_fleet_sockets.py
+++ b/tests/test_fleet_sockets.py
@@ -9,7 +9,7 @@
 from concurrent.futures import ThreadPoolExecutor
 
 import pytest
-from program import played, told_of
+from program import run_broken_build_day, run_day
 
 from sprucespool.cli.fleet import fetch
 from sprucespool.judge import fleet as seen
@@ -66,8 +66,8 @@
     path = folder / f"{name}.kdl"
     path.write_text(text + {**CASES, **BROKEN}[name])
     if name in BROKEN and name != "fleet-d":
-        return name, told_of(path, name, "fleet")
-    return name, played(path, name if name in BROKEN else "hiku")
+        return name, run_broken_build_day(path, name, "fleet")
+    return name, run_day(path, name if name in BROKEN else "hiku")
 
 
 @pytest.fixture(scope="module")
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -339,8 +339,8 @@
 
 
 def wait_for_reported_claims(stage, daemon, expected, timeout=3.0):
-    wait_until(lambda: stage.call(lambda: daemon.door.exchange.told) >= expected, timeout)
-    return stage.call(lambda: daemon.door.exchange.told)
+    wait_until(lambda: stage.call(lambda: daemon.server.exchange.claims_reported) >= expected, timeout)
+    return stage.call(lambda: daemon.server.exchange.claims_reported)
 
 
 @pytest.fixture
@@ -360,7 +360,7 @@
     assert wait_for_reported_claims(stage, second, 12) == 12
     infer_each_model(second)
     assert count_loads(stage, *fleet) == before == 12
-    record = stage.call(lambda: second.door.exchange.newcomer.sources[f"127.0.0.1:{first.port}"].record)
+    record = stage.call(lambda: second.server.exchange.joining.sources[f"127.0.0.1:{first.port}"].record)
     assert (record.right, record.wrong) == (12, 0)
     (tmp_path / "third").mkdir()
     third = stage.controller(tmp_path / "third", invokers, learning_settings(second))
@@ -402,8 +402,8 @@
     infer_each_model(daemon, 40)
     tally = counts(stage, daemon)
     assert tally.returned == 40 and count_loads(stage, *fleet) <= 44
-    assert stage.call(lambda: daemon.door.exchange.taken_back) > 20
-    source = stage.call(lambda: daemon.door.exchange.newcomer.sources[f"127.0.0.1:{liar.port}"])
+    assert stage.call(lambda: daemon.server.exchange.claims_withdrawn) > 20
+    source = stage.call(lambda: daemon.server.exchange.joining.sources[f"127.0.0.1:{liar.port}"])
     assert source.why == "its claims proved wrong" and source.record.wrong == 5
 
 
@@ -498,7 +498,7 @@
     (tmp_path / "told" / "invokers.kdl").write_text(
         f'invoker "{invokers[0]}" draining=#true\ninvoker "{invokers[1]}"\ninvoker "{invokers[2]}"\n'
     )
-    wait_until(lambda: len(stage.call(lambda: second.door.gateway.module.workers)) <= 2, 5.0)
+    wait_until(lambda: len(stage.call(lambda: second.server.gateway.module.workers)) <= 2, 5.0)
     infer_each_model(second)
     assert counts(stage, second).returned == 12
     now = [one.worker.tally.ran for one in fleet]
@@ -512,9 +512,9 @@
     (tmp_path / "b").mkdir()
     requesting = stage.controller(tmp_path / "b", [standin.name], learning_settings(daemon))
     time.sleep(0.3)
-    sources = stage.call(lambda: requesting.door.exchange.newcomer.sources)
+    sources = stage.call(lambda: requesting.server.exchange.joining.sources)
     assert [source.done for source in sources.values()] == [True] and "UNIMPLEMENTED" in str(sources)
-    assert other.request_count == 0 and daemon.door.exchange is None
+    assert other.request_count == 0 and daemon.server.exchange is None
 
 
 def group_settings(number, *seeds) -> str:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -6,8 +6,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sprucespool.daemon.failover import MORE_FIGURES
-from sprucespool.daemon.group import FIGURES
+from sprucespool.daemon.failover import FAILOVER_METRICS
+from sprucespool.daemon.group import LOAD_METRICS
 from sprucespool.emulator.group import Virtual
 from sprucespool.faults import LinkState
 from sprucespool.judge import group as seen
@@ -432,7 +432,7 @@
     world = Virtual(3)
     with pytest.raises(ValueError, match="16 figures at the most, got 17"):
         world.members["c0"].update_figures(0.0, (1.0,) * 17)
-    row = replace(world.members["c0"].me, figures=(1.0,) * len((*FIGURES, *MORE_FIGURES)))
+    row = replace(world.members["c0"].me, figures=(1.0,) * len((*LOAD_METRICS, *FAILOVER_METRICS)))
     message = Message("rows", row, ("c1", 0), 1, rows=(row,))
     codec = Codec("g", "m")
     assert codec.decode(codec.encode(message)).rows == (row,)
