--- a/sprucespool/daemon/__init__.py
+++ b/sprucespool/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The thin daemon: reads settings, opens sockets, wires the parts, ends gracefully."""
+"""The daemon: reads settings, opens sockets, connects the parts and shuts down gracefully."""
--- a/sprucespool/daemon/failover.py
+++ b/sprucespool/daemon/failover.py
@@ -142,7 +142,7 @@
         self.follows: dict[str, tuple[int, int]] = {}
         self.timer: asyncio.TimerHandle | None = None
         self.stopped = False
-        weigh, self.group.figures = group.measure_load, (*LOAD_METRICS, *FAILOVER_METRICS)
+        weigh, self.group.metric_names = group.measure_load, (*LOAD_METRICS, *FAILOVER_METRICS)
         group.measure_load = lambda: (*weigh(), *self.meter.figures(self.now()))
         group.failover_payload, group.on_plan = self._ride, self._heard
 
@@ -246,7 +246,7 @@
             ]
         )
         loaded = [Loaded(self.zone, *self.meter.figures(now), at=now)]
-        size = len(self.group.figures)
+        size = len(self.group.metric_names)
         for row in self.others() if member is not None else ():
             told, at = self.reports.of(
                 now, row.name, row.figures[len(LOAD_METRICS) :] if len(row.figures) == size else ()
@@ -314,12 +314,12 @@
             self.meter.arrived(now, given.group, bound, given.work or group.slo_time / 4)
         return self.steer.zones(now, self.failover.follow(now), bound, group.value)
 
-    def sent(self, number: int, invoker: str, group: str) -> None:
+    def forward_sent(self, number: int, invoker: str, group: str) -> None:
         place = self.fleet.fleet.told.get(invoker) if self.fleet.fleet is not None else None
         if place is not None:
             self.out[number] = place.zone, self.now(), group
 
-    def ended(self, number: int, outcome: it.Outcome, found: it.Found) -> None:
+    def forward_ended(self, number: int, outcome: it.Outcome, found: it.Found) -> None:
         zone, since, name = self.out.pop(number, ("", 0.0, ""))
         if not zone or outcome in (it.Outcome.CALLED_OFF, it.Outcome.NOT_SENT):
             return
@@ -376,7 +376,7 @@
         epoch = follows[council.name]
         member = self.group.group
         return ZonesShown(
-            self.group.told.name,
+            self.group.settings.name,
             council.name,
             member.start if member is not None else 0,
             self.zone,
--- a/sprucespool/daemon/fleet.py
+++ b/sprucespool/daemon/fleet.py
@@ -30,7 +30,7 @@
 GONE = it.Status.GONE.value
 LOUD = {"distrusted", "behind", "back", "contradiction", "panic", "unreachable"}
 # Of beliefs asked for to show the view; those of pages are numbered from 1.
-SHOWING = -1
+VIEW_TOKEN = -1
 
 
 class Said(msgspec.Struct):
@@ -249,11 +249,11 @@
 
     # Own eyes
 
-    def sent(self, number: int, invoker: str) -> None:
+    def forward_sent(self, number: int, invoker: str) -> None:
         if self.fleet is not None:
             self.fleet.sent(self.now(), number, invoker)
 
-    def ended(self, number: int, outcome: it.Outcome, trailers: Metadata) -> None:
+    def forward_ended(self, number: int, outcome: it.Outcome, trailers: Metadata) -> None:
         if self.fleet is None:
             return
         self.fleet.ended(self.now(), number, outcome.value, *_process(trailers))
@@ -274,9 +274,9 @@
             return call.finish(Status.UNAVAILABLE, "not yet in the group")
         self.asking.append(call)
         if len(self.asking) == 1:
-            self.tell(ms.BeliefsAsked(SHOWING))
+            self.tell(ms.BeliefsAsked(VIEW_TOKEN))
 
-    def given(self, effect: ms.BeliefsGiven) -> None:
+    def beliefs_received(self, effect: ms.BeliefsGiven) -> None:
         copies: dict[tuple[str, str], int] = {}
         for one in effect.known:
             copies[one.invoker, one.boot] = copies.get((one.invoker, one.boot), 0) + one.copies
--- a/sprucespool/daemon/gateway_server.py
+++ b/sprucespool/daemon/gateway_server.py
@@ -1,6 +1,6 @@
-"""Between sockets and the gateway: calls of clients in, forwards to invokers out.
+"""Connects gRPC sockets and the gateway: calls of clients come in, forwards to invokers go out.
 
-Holds no decisions: it knows which connection each call and forward belongs to, and carries out the gateway's effects.
+Makes no decisions: it knows which connection each call and forward belongs to, and carries out the gateway's effects.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from sprucespool import interface as it
 from sprucespool.daemon.failover import FailoverCarrier
-from sprucespool.daemon.fleet import SHOWING, FleetCarrier
+from sprucespool.daemon.fleet import VIEW_TOKEN, FleetCarrier
 from sprucespool.daemon.learning import Exchange
 from sprucespool.daemon.request import parse_request
 from sprucespool.gateway import Decider, Gateway, Recorder
@@ -40,32 +40,33 @@
     id: str
     call: ServerCall
     request: bytes
-    told: RequestFields
+    fields: RequestFields
     streamed: bool
     path: str
-    since: float
+    received_at: float
     group: str
-    given: ms.Call
+    message: ms.Call
     forwards: list[str] = field(default_factory=list)
-    results: int = 0
+    result_count: int = 0
 
 
 @dataclass(slots=True, eq=False)
-class _Out:
-    """One forward, with the results that wait until it is known whose they are."""
+class _Forward:
+    """One attempt at an invoker. Keeps its results until the gateway decides whether to return them."""
 
     client: _Client
-    sent: PoolCall | None = None
+    pool_call: PoolCall | None = None
     invoker: str = ""
     results: list[tuple[bytes, int]] = field(default_factory=list)
-    count: int = 0
+    message_count: int = 0
     streaming: bool = False
-    owed: int = 0
-    due: float = 0.0
+    # Bytes that the client has not read yet, so that they are not credited to the invoker's flow-control window.
+    uncredited_bytes: int = 0
+    deadline: float = 0.0
 
 
 class GatewayServer:
-    """The gateway's port, and the methods that clients call."""
+    """Serves the gateway over gRPC: the methods that clients call, and the gateway's effects."""
 
     def __init__(
         self,
@@ -79,52 +80,52 @@
         self.loop = asyncio.get_running_loop()
         self.gateway = library(deployment(plan), plan.seed, self._effect, decider)
         self.input_sink: Gateway | Recorder = Recorder(self.gateway, record) if record else self.gateway
-        self.batch = InputBatcher(self.input_sink.take, self._after)
+        self.batch = InputBatcher(self.input_sink.take, self._after_batch)
         self.models = ModelTable(plan.models)
         self.clients: dict[str, _Client] = {}
-        self.in_flight: dict[int, _Out] = {}
+        self.in_flight: dict[int, _Forward] = {}
         self.pools: dict[str, Pool] = {}
         self.pending_requests: dict[int, PoolCall] = {}
         self.peers = {peer.number: peer.address for peer in plan.peers}
-        # Forwards whose end is told: their results may be wanted until the gateway took it, and never after.
-        self.ended: list[int] = []
+        # Forwards whose end was reported to the gateway: it may use a result until it has taken that report, not later.
+        self.ended_forwards: list[int] = []
         self.debugging = plan.log.level == "debug"
-        self.held = self.numbers = 0
-        self.leaving, self.closed = False, False
+        self.held_bytes = self.last_number = 0
+        self.stopping, self.closed = False, False
         self.subscribe: Callable[[bool], None] = lambda active: None
         self.fetch_roster: Callable[[], None] = lambda: None
         self.ready = False
         self.exchange: Exchange | None = None
-        # What own forwards show of invokers, where a view in common is kept.
+        # Uses the outcomes of this controller's forwards as observations, if a shared view of the fleet is kept.
         self.fleet: FleetCarrier | None = None
-        # Which zones an inference may go to, where a plan of zones is followed.
+        # Decides which zones an inference may go to, if a plan of zones is followed.
         self.failover: FailoverCarrier | None = None
-        bounds, far = plan.bounds, plan.to_invokers
-        self.far_limits = Limits(
-            streams=far.streams,
+        bounds, to_invokers = plan.bounds, plan.to_invokers
+        self.invoker_limits = Limits(
+            streams=to_invokers.streams,
             message=bounds.message,
             header_list=bounds.headers,
             stream_window=max(65_536, bounds.stream_buffer),
             link_window=16 * 2**20,
         )
         self.pool_limits = PoolLimits(
-            connections=far.connections,
+            connections=to_invokers.connections,
             connect_timeout=plan.forwards.connect_timeout,
-            idle_close=far.idle_close,
-            keepalive=far.keepalive,
-            keepalive_timeout=far.keepalive_timeout,
-            initial_backoff=far.first_backoff,
-            max_backoff=far.last_backoff,
+            idle_close=to_invokers.idle_close,
+            keepalive=to_invokers.keepalive,
+            keepalive_timeout=to_invokers.keepalive_timeout,
+            initial_backoff=to_invokers.first_backoff,
+            max_backoff=to_invokers.last_backoff,
             source=plan.source,
         )
-        self.about = {names.CONTROLLER: str(plan.controller.number)}
+        self.own_metadata = {names.CONTROLLER: str(plan.controller.number)}
         if plan.learning is not None:
             self.exchange = Exchange(
                 plan.learning,
                 plan.fleet.keep_alive,
                 self.add_input,
                 log,
-                self.about,
+                self.own_metadata,
                 plan.seed * 17 + plan.controller.number,
                 source=plan.source,
             )
@@ -134,24 +135,25 @@
     def now(self) -> float:
         return self.loop.time() * 1000.0
 
-    # Towards the gateway
+    # Inputs to the gateway
 
     def add_input(self, item: ms.Input) -> None:
         self.batch.add(item)
         if isinstance(item, ms.Roster):
-            self._withdraw_from(item)
-
-    def _withdraw_from(self, news: ms.Roster):
-        """What waits for a connection to an invoker that drains or has left goes on elsewhere."""
-        serving = {row.invoker for row in news.rows if row.status == it.Status.IN_SERVICE.value}
-        whole = news.kind == it.News.REPLACE.value
-        named = list(self.pools) if whole else [row.invoker for row in news.rows]
+            self._withdraw_waiting_calls(item)
+
+    def _withdraw_waiting_calls(self, change: ms.Roster):
+        """Withdraw calls that wait for a connection to an invoker that is draining or has left, so that the gateway
+        tries other invokers."""
+        serving = {row.invoker for row in change.rows if row.status == it.Status.IN_SERVICE.value}
+        whole = change.kind == it.News.REPLACE.value
+        named = list(self.pools) if whole else [row.invoker for row in change.rows]
         for name in named:
             if name in self.pools and name not in serving:
                 self.pools[name].withdraw_waiting("the invoker drains or has left")
 
-    def _after(self):
-        ended, self.ended = self.ended, []
+    def _after_batch(self):
+        ended, self.ended_forwards = self.ended_forwards, []
         for number in ended:
             self.in_flight.pop(number, None)
 
@@ -164,14 +166,14 @@
         return {
             names.MODEL_INFER: unary(lambda call, data: self._infer(call, data, False)),
             names.MODEL_STREAM_INFER: unary(lambda call, data: self._infer(call, data, True)),
-            names.SERVER_LIVE: _plain(lambda: oip.ServerLiveResponse(live=True)),
-            names.SERVER_READY: _plain(lambda: oip.ServerReadyResponse(ready=self.ready and not self.leaving)),
+            names.SERVER_LIVE: _simple_method(lambda: oip.ServerLiveResponse(live=True)),
+            names.SERVER_READY: _simple_method(lambda: oip.ServerReadyResponse(ready=self.ready and not self.stopping)),
             names.MODEL_READY: unary(self._model_ready),
-            names.SERVER_METADATA: _plain(
+            names.SERVER_METADATA: _simple_method(
                 lambda: oip.ServerMetadataResponse(name="sprucespool", extensions=["model_repository", "streamed"])
             ),
             names.MODEL_METADATA: unary(self._model_metadata),
-            names.REPOSITORY_INDEX: _plain(
+            names.REPOSITORY_INDEX: _simple_method(
                 lambda: oip.RepositoryIndexResponse(
                     models=[
                         oip.RepositoryIndexResponse.ModelIndex(name=name, state="READY")
@@ -182,26 +184,26 @@
             ),
             names.MODEL_LOAD: _unsupported("models are loaded on demand; orders come from the controller alone"),
             names.MODEL_UNLOAD: _unsupported("models are unloaded by their invokers"),
-            names.PEERS_TELL: unary(self._peer_told),
+            names.PEERS_TELL: unary(self._peer_message),
             **(self.exchange.methods() if self.exchange else {}),
         }
 
     def _model_ready(self, call: ServerCall, data: bytes):
-        asked = parse_request(call, oip.ModelReadyRequest, data)
-        if asked is not None:
-            # Any model of a known group can be called; a load on demand is part of a call.
-            facts = self.models.of(asked.name)
+        request = parse_request(call, oip.ModelReadyRequest, data)
+        if request is not None:
+            # Any model of a known group can be called: a call loads its model on demand.
+            facts = self.models.of(request.name)
             ready = self.ready and (len(self.gateway.groups) == 1 or facts is not None and facts.group is not None)
             call.send(oip.ModelReadyResponse(ready=ready).SerializeToString())
             call.finish(Status.OK)
 
     def _model_metadata(self, call: ServerCall, data: bytes):
-        asked = parse_request(call, oip.ModelMetadataRequest, data)
-        if asked is not None:
-            call.send(oip.ModelMetadataResponse(name=asked.name, platform="sprucespool").SerializeToString())
+        request = parse_request(call, oip.ModelMetadataRequest, data)
+        if request is not None:
+            call.send(oip.ModelMetadataResponse(name=request.name, platform="sprucespool").SerializeToString())
             call.finish(Status.OK)
 
-    def _peer_told(self, call: ServerCall, data: bytes):
+    def _peer_message(self, call: ServerCall, data: bytes):
         note = parse_request(call, platform.PeerNote, data)
         if note is None:
             return
@@ -213,63 +215,63 @@
 
     def _infer(self, call: ServerCall, data: bytes, streamed: bool):
         bounds, wait = self.plan.bounds, self.plan.answers.longest_retry_after
-        if len(self.clients) >= bounds.calls or self.held + len(data) > bounds.held:
+        if len(self.clients) >= bounds.calls or self.held_bytes + len(data) > bounds.held:
             self.turned_away += 1
             return call.finish(outcomes.SHED, "too much is held here", outcomes.pushback_metadata(wait))
         if self.batch.lag > bounds.lag:
-            # Against a loop that falls behind: what it takes in now it would answer when nobody waits any more.
+            # The event loop is overloaded: a call accepted now would be answered after its client has given up.
             self.turned_away += 1
             return call.finish(outcomes.SHED, "the controller is behind", outcomes.pushback_metadata(wait))
         try:
-            told = peek_request(data)
-            given = self._call_of(call, told, streamed)
-        except MalformedRequest as problem:
-            return call.finish(outcomes.MALFORMED, f"no ModelInferRequest: {problem}")
-        except ValueError as problem:
-            return call.finish(outcomes.MALFORMED, str(problem))
-        group = self.gateway.groups[given.group]
+            fields = peek_request(data)
+            message = self._call_message(call, fields, streamed)
+        except MalformedRequest as error:
+            return call.finish(outcomes.MALFORMED, f"no ModelInferRequest: {error}")
+        except ValueError as error:
+            return call.finish(outcomes.MALFORMED, str(error))
+        group = self.gateway.groups[message.group]
         client = _Client(
-            given.call,
+            message.call,
             call,
             data,
-            told,
+            fields,
             streamed,
             names.MODEL_STREAM_INFER if group.streamed else names.MODEL_INFER,
             self.now(),
             group.name,
-            given,
+            message,
         )
         self.clients[client.id] = client
-        self.held += len(data)
+        self.held_bytes += len(data)
         if self.failover is not None:
-            given.zones = self.failover.zones(given)
-        call.on_cancelled = lambda: self._client_gone(client)
-        self.add_input(given)
+            message.zones = self.failover.zones(message)
+        call.on_cancelled = lambda: self._client_left(client)
+        self.add_input(message)
 
-    def _call_of(self, call: ServerCall, told: RequestFields, streamed: bool) -> ms.Call:
-        """Raises ValueError with what was expected."""
-        if not told.model:
+    def _call_message(self, call: ServerCall, fields: RequestFields, streamed: bool) -> ms.Call:
+        """Raises ValueError; its text, which says what was expected, goes to the client."""
+        if not fields.model:
             raise ValueError("expected model_name")
-        facts = self.models.of(told.model)
+        facts = self.models.of(fields.model)
 
-        def text(name: str, absent: str | None) -> str:
-            value = told.parameters.get(name, call.metadata.get(names.PREFIX + name.replace("_", "-"), absent or ""))
+        def text(name: str, default: str | None) -> str:
+            value = fields.parameters.get(name, call.metadata.get(names.PREFIX + name.replace("_", "-"), default or ""))
             if not isinstance(value, str):
                 raise ValueError(f"expected {name} as a string, got {value!r}")
             return value
 
-        def number(name: str, absent: float | None) -> float | None:
-            value = told.parameters.get(name, call.metadata.get(names.PREFIX + name.replace("_", "-"), absent))
+        def number(name: str, default: float | None) -> float | None:
+            value = fields.parameters.get(name, call.metadata.get(names.PREFIX + name.replace("_", "-"), default))
             try:
-                found = None if value is None else float(value)
+                parsed = None if value is None else float(value)
             except ValueError:
-                found = float("nan")
-            if found is not None and not 0 <= found < 1e9:
+                parsed = float("nan")
+            if parsed is not None and not 0 <= parsed < 1e9:
                 raise ValueError(f"expected {name} as a number from 0 to 1e9, got {value!r}")
-            return found
+            return parsed
 
-        only = next(iter(self.gateway.groups)) if len(self.gateway.groups) == 1 else None
-        name = text(names.MODEL_GROUP, facts.group if facts and facts.group else only)
+        only_group = next(iter(self.gateway.groups)) if len(self.gateway.groups) == 1 else None
+        name = text(names.MODEL_GROUP, facts.group if facts and facts.group else only_group)
         group = self.gateway.groups.get(name)
         if group is None:
             raise ValueError(f"expected model_group as one of {', '.join(self.gateway.groups)}, got {name!r}")
@@ -280,12 +282,12 @@
             raise ValueError(f"expected tenant as one of {', '.join(self.gateway.tenants)}, got {tenant!r}")
         lanes = number(names.LANES, facts.lanes if facts else None)
         memory = number(names.MEMORY, facts.memory / 1e6 if facts and facts.memory else None)
-        self.numbers += 1
+        self.last_number += 1
         waited = self.batch.pace.possible_wait_on_connection_ms(call.waited)
         return ms.Call(
-            f"{self.plan.controller.number}-{self.numbers}",
+            f"{self.plan.controller.number}-{self.last_number}",
             name,
-            told.model,
+            fields.model,
             max(1.0, min(group.route_timeout, group.route_timeout if call.timeout is None else call.timeout) - waited),
             tenant,
             number(names.COST, None),
@@ -293,71 +295,77 @@
             max(1, int(lanes)) if lanes is not None else None,
             number(names.LOAD_TIME, facts.load_time if facts else None),
             call.metadata.get(names.PREVIOUS_ATTEMPTS, "0") not in ("", "0"),
-            bool(told.parameters.get(names.WRITE, False)),
+            bool(fields.parameters.get(names.WRITE, False)),
             waited=waited,
         )
 
-    def _client_gone(self, client: _Client):
+    def _client_left(self, client: _Client):
         if self.clients.get(client.id) is client:
-            if not self.batch.withdraw(client.given):
+            if not self.batch.withdraw(client.message):
                 self.add_input(ms.Left(client.id))
             self._done(client, "left")
 
-    def _done(self, client: _Client, how: str):
+    def _done(self, client: _Client, end: str):
         self.clients.pop(client.id, None)
-        self.held -= len(client.request)
+        self.held_bytes -= len(client.request)
         client.request = b""
         self.log.info(
             "inference",
-            id=client.told.id or client.id,
+            id=client.fields.id or client.id,
             call=client.id,
-            model=client.told.model,
-            end=how,
-            ms=round(self.now() - client.since, 1),
+            model=client.fields.model,
+            end=end,
+            ms=round(self.now() - client.received_at, 1),
             forwards=client.forwards,
         )
 
-    # Towards invokers
+    # Forwards to invokers
 
     def pool(self, name: str) -> Pool:
         if name not in self.pools:
             host, port = address(name)
-            # Each pool draws its own pauses, each controller other ones.
+            # Each pool of each controller has its own random backoff pauses.
             seed = self.plan.seed * 1000 + self.plan.controller.number + len(self.pools) * 7919
-            self.pools[name] = Pool(host, port, self.far_limits, self.pool_limits, seed, self.batch.pace)
+            self.pools[name] = Pool(host, port, self.invoker_limits, self.pool_limits, seed, self.batch.pace)
         return self.pools[name]
 
     def _forward(self, effect: ms.SendForward):
         client = self.clients.get(effect.call)
         if client is None:
-            # The client left in this very turn of the loop; its going is the next input.
+            # The client left in this loop iteration; the gateway is informed of that by its next input.
             return self.add_input(ms.ForwardEnded(effect.forward, it.Outcome.NOT_SENT.value))
-        out = self.in_flight[effect.forward] = _Out(client, invoker=effect.invoker, due=self.now() + effect.time_out)
+        forward = self.in_flight[effect.forward] = _Forward(
+            client, invoker=effect.invoker, deadline=self.now() + effect.time_out
+        )
         if self.fleet is not None:
-            self.fleet.sent(effect.forward, effect.invoker)
+            self.fleet.forward_sent(effect.forward, effect.invoker)
         if self.failover is not None:
-            self.failover.sent(effect.forward, effect.invoker, client.group)
+            self.failover.forward_sent(effect.forward, effect.invoker, client.group)
         client.forwards.append(effect.invoker)
-        metadata = {**self.about, **({names.PREVIOUS_ATTEMPTS: str(effect.attempt)} if effect.attempt else {})}
-        out.sent = self.pool(effect.invoker).call(
-            client.path, metadata, effect.time_out, client.request, lambda event: self._heard(effect.forward, event)
+        metadata = {**self.own_metadata, **({names.PREVIOUS_ATTEMPTS: str(effect.attempt)} if effect.attempt else {})}
+        forward.pool_call = self.pool(effect.invoker).call(
+            client.path,
+            metadata,
+            effect.time_out,
+            client.request,
+            lambda event: self._forward_event(effect.forward, event),
         )
 
-    def _heard(self, number: int, event: CallEvent):
-        out = self.in_flight.get(number)
-        if out is None:
+    def _forward_event(self, number: int, event: CallEvent):
+        forward = self.in_flight.get(number)
+        if forward is None:
             return
         if isinstance(event, Message):
-            out.count += 1
-            if out.streaming:
-                self._relay(out, event.data, event.size)
+            forward.message_count += 1
+            if forward.streaming:
+                self._relay(forward, event.data, event.size)
             else:
-                out.results.append((event.data, event.size))
-                if out.client.path == names.MODEL_STREAM_INFER and out.count == 1:
+                forward.results.append((event.data, event.size))
+                if forward.client.path == names.MODEL_STREAM_INFER and forward.message_count == 1:
                     self.add_input(ms.FirstResult(number))
-                elif out.client.path == names.MODEL_INFER:
-                    assert out.sent is not None
-                    out.sent.consumed(event.size)
+                elif forward.client.path == names.MODEL_INFER:
+                    assert forward.pool_call is not None
+                    forward.pool_call.consumed(event.size)
             return
         if isinstance(event, Drained):
             return
@@ -366,19 +374,21 @@
             outcome = outcomes.of_answer(event.status, event.messages)
             trailers = event.trailers
         elif isinstance(event, Reset):
-            outcome = outcomes.of_reset(event.never_ran, out.count)
+            outcome = outcomes.of_reset(event.never_ran, forward.message_count)
         else:
             outcome = it.Outcome.UNCONNECTED if isinstance(event, Unconnected) else it.Outcome.RESET
         found = outcomes.read_found(trailers)
-        self.ended.append(number)
+        self.ended_forwards.append(number)
         if self.debugging and outcome is not it.Outcome.RETURNED:
-            self.log.debug("forward", call=out.client.id, invoker=out.invoker, end=outcome.value, told=str(event)[:200])
+            self.log.debug(
+                "forward", call=forward.client.id, invoker=forward.invoker, end=outcome.value, told=str(event)[:200]
+            )
         if self.fleet is not None:
-            self.fleet.ended(number, outcome, trailers)
+            self.fleet.forward_ended(number, outcome, trailers)
         if self.failover is not None:
-            self.failover.ended(number, outcome, found)
+            self.failover.forward_ended(number, outcome, found)
         if self.exchange is not None:
-            self.exchange.ended(out.invoker, out.client.told.model, outcome, found)
+            self.exchange.forward_ended(forward.invoker, forward.client.fields.model, outcome, found)
         self.add_input(
             ms.ForwardEnded(
                 number,
@@ -390,53 +400,53 @@
             )
         )
 
-    def _relay(self, out: _Out, data: bytes, size: int):
-        """A streamed result goes on; the invoker may send more only as the client reads."""
-        out.client.results += 1
-        waiting = out.client.call.send(data)
-        if waiting > self.plan.bounds.stream_buffer:
-            out.owed += size
-            out.client.call.mark()
-        elif out.sent is not None:
-            out.sent.consumed(size)
+    def _relay(self, forward: _Forward, data: bytes, size: int):
+        """Pass a streamed result on. The invoker may send more only as fast as the client reads."""
+        forward.client.result_count += 1
+        unsent_bytes = forward.client.call.send(data)
+        if unsent_bytes > self.plan.bounds.stream_buffer:
+            forward.uncredited_bytes += size
+            forward.client.call.mark()
+        elif forward.pool_call is not None:
+            forward.pool_call.consumed(size)
 
     def _recall(self, effect: ms.Recall):
-        out = self.in_flight.pop(effect.forward, None)
-        if out is not None and out.sent is not None:
-            out.sent.cancel()
-        if out is not None and self.fleet is not None:
-            over = self.now() >= out.due - 1.0 and not out.streaming
-            how = it.Outcome.TIMED_OUT if over else it.Outcome.CALLED_OFF
-            self.fleet.ended(effect.forward, how, {})
+        forward = self.in_flight.pop(effect.forward, None)
+        if forward is not None and forward.pool_call is not None:
+            forward.pool_call.cancel()
+        if forward is not None and self.fleet is not None:
+            timed_out = self.now() >= forward.deadline - 1.0 and not forward.streaming
+            outcome = it.Outcome.TIMED_OUT if timed_out else it.Outcome.CALLED_OFF
+            self.fleet.forward_ended(effect.forward, outcome, {})
             if self.failover is not None:
-                self.failover.ended(effect.forward, how, it.Found.UNTOLD)
+                self.failover.forward_ended(effect.forward, outcome, it.Found.UNTOLD)
 
-    # Answers
+    # Answers to clients
 
     def _returned(self, effect: ms.AnswerReturned):
-        client, out = self.clients.get(effect.call), self.in_flight.pop(effect.forward, None)
-        if client is None or out is None:
+        client, forward = self.clients.get(effect.call), self.in_flight.pop(effect.forward, None)
+        if client is None or forward is None:
             return
-        for data, _ in out.results[:1]:
+        for data, _ in forward.results[:1]:
             client.call.send(wrap_stream_result(data) if client.streamed else data)
         client.call.finish(Status.OK)
         self._done(client, "returned")
 
     def _stream_begun(self, effect: ms.StreamBegun):
-        out, client = self.in_flight.get(effect.forward), self.clients.get(effect.call)
-        if out is None or client is None:
+        forward, client = self.in_flight.get(effect.forward), self.clients.get(effect.call)
+        if forward is None or client is None:
             return
-        out.streaming = True
+        forward.streaming = True
 
         def drained():
-            owed, out.owed = out.owed, 0
-            if out.sent is not None:
-                out.sent.consumed(owed)
+            uncredited_bytes, forward.uncredited_bytes = forward.uncredited_bytes, 0
+            if forward.pool_call is not None:
+                forward.pool_call.consumed(uncredited_bytes)
 
         client.call.on_drained = drained
-        results, out.results = out.results, []
+        results, forward.results = forward.results, []
         for data, size in results:
-            self._relay(out, data, size)
+            self._relay(forward, data, size)
 
     def _stream_ended(self, effect: ms.StreamEnded):
         client = self.clients.get(effect.call)
@@ -448,8 +458,8 @@
         else:
             client.call.finish(
                 outcomes.FAILED,
-                f"the stream broke after {client.results} results",
-                {"spruce-results": str(client.results)},
+                f"the stream broke after {client.result_count} results",
+                {"spruce-results": str(client.result_count)},
             )
         self._done(client, "returned" if effect.whole else "broken")
 
@@ -473,18 +483,18 @@
             client.call.finish(outcomes.MALFORMED, effect.why)
             self._done(client, "rejected")
 
-    # Orders, probes and the rest
+    # Orders, probes and other effects
 
-    def _ask(
+    def _send_request(
         self,
         number: int,
         invoker: str,
         path: str,
         message: bytes,
         time_out: float,
-        ended: Callable[[it.Outcome, Metadata], None],
+        on_end: Callable[[it.Outcome, Metadata], None],
     ):
-        def heard(event: CallEvent):
+        def on_event(event: CallEvent):
             if isinstance(event, Message):
                 self.pending_requests[number].consumed(event.size)
                 return
@@ -492,32 +502,42 @@
                 return
             self.pending_requests.pop(number, None)
             if isinstance(event, Answered):
-                ended(outcomes.of_answer(event.status, event.messages), event.trailers)
+                on_end(outcomes.of_answer(event.status, event.messages), event.trailers)
             elif isinstance(event, Reset):
-                ended(outcomes.of_reset(event.never_ran, 0), {})
+                on_end(outcomes.of_reset(event.never_ran, 0), {})
             else:
-                ended(it.Outcome.UNCONNECTED if isinstance(event, Unconnected) else it.Outcome.RESET, {})
+                on_end(it.Outcome.UNCONNECTED if isinstance(event, Unconnected) else it.Outcome.RESET, {})
 
-        self.pending_requests[number] = self.pool(invoker).call(path, dict(self.about), time_out, message, heard)
+        self.pending_requests[number] = self.pool(invoker).call(
+            path, dict(self.own_metadata), time_out, message, on_event
+        )
 
     def _order(self, effect: ms.SendOrder):
-        def ended(outcome: it.Outcome, trailers: Metadata):
-            standing = outcomes.read_int(trailers, names.STANDING)
-            stands = effect.copies if outcome is it.Outcome.RETURNED else 0
-            self.add_input(ms.OrderEnded(effect.order, outcome.value, stands if standing is None else standing))
+        def on_end(outcome: it.Outcome, trailers: Metadata):
+            reported_copies = outcomes.read_int(trailers, names.STANDING)
+            assumed_copies = effect.copies if outcome is it.Outcome.RETURNED else 0
+            self.add_input(
+                ms.OrderEnded(
+                    effect.order, outcome.value, assumed_copies if reported_copies is None else reported_copies
+                )
+            )
 
         request = oip.RepositoryModelLoadRequest(model_name=effect.model)
         request.parameters[names.COPIES].int64_param = effect.copies
-        self._ask(effect.order, effect.invoker, names.MODEL_LOAD, request.SerializeToString(), effect.time_out, ended)
+        self._send_request(
+            effect.order, effect.invoker, names.MODEL_LOAD, request.SerializeToString(), effect.time_out, on_end
+        )
         self.log.debug("order", invoker=effect.invoker, model=effect.model)
 
     def _unload(self, effect: ms.SendUnload):
-        self.numbers += 1
+        self.last_number += 1
         message = oip.RepositoryModelUnloadRequest(model_name=effect.model).SerializeToString()
-        self._ask(-self.numbers, effect.invoker, names.MODEL_UNLOAD, message, 5000.0, lambda outcome, trailers: None)
+        self._send_request(
+            -self.last_number, effect.invoker, names.MODEL_UNLOAD, message, 5000.0, lambda outcome, trailers: None
+        )
 
     def _probe(self, effect: ms.SendProbe):
-        self._ask(
+        self._send_request(
             effect.probe,
             effect.invoker,
             names.SERVER_LIVE,
@@ -528,33 +548,35 @@
             ),
         )
 
-    def ask_ready(self, invoker: str) -> None:
-        """For the view in common: which process stands there, if it tells."""
+    def request_readiness(self, invoker: str) -> None:
+        """For the shared view of the fleet: learn which process serves at the address, if the response names it."""
 
-        def ended(outcome: it.Outcome, trailers: Metadata):
+        def on_end(outcome: it.Outcome, trailers: Metadata):
             if outcome is it.Outcome.RETURNED and self.fleet is not None:
                 self.fleet.probed(invoker, trailers)
 
-        self.numbers += 1
-        self._ask(-self.numbers, invoker, names.SERVER_READY, b"", 500.0, ended)
+        self.last_number += 1
+        self._send_request(-self.last_number, invoker, names.SERVER_READY, b"", 500.0, on_end)
 
-    def _message(self, effect: ms.SendMessage):
+    def _send_message(self, effect: ms.SendMessage):
         note = platform.PeerNote(sender=self.plan.controller.number, payload=effect.payload).SerializeToString()
-        for number, where in self.peers.items():
+        for number, peer_address in self.peers.items():
             if effect.peer in (None, number):
-                self.numbers += 1
-                # Notes may be lost: nobody waits for them.
-                self._ask(-self.numbers, where, names.PEERS_TELL, note, 2000.0, lambda outcome, trailers: None)
+                self.last_number += 1
+                # Messages to peers may be lost: nothing waits for their delivery.
+                self._send_request(
+                    -self.last_number, peer_address, names.PEERS_TELL, note, 2000.0, lambda outcome, trailers: None
+                )
 
     def _close_idle(self, effect: ms.CloseIdle):
         if effect.invoker in self.pools:
             self.pools[effect.invoker].close_idle()
 
     def _beliefs(self, effect: ms.BeliefsGiven):
-        if effect.token == SHOWING and self.fleet is not None:
-            self.fleet.given(effect)
+        if effect.token == VIEW_TOKEN and self.fleet is not None:
+            self.fleet.beliefs_received(effect)
         elif self.exchange is not None:
-            self.exchange.given(effect)
+            self.exchange.beliefs_received(effect)
 
     def _note(self, effect: ms.Note):
         (self.log.error if effect.fault else self.log.info)("module", text=effect.text, call=effect.call)
@@ -566,10 +588,10 @@
             if pool.quiet and name not in self.gateway.invokers:
                 del self.pools[name]
 
-    # The end
+    # Shutdown
 
     async def stop(self, timeout: float) -> int:
-        """Wait until nothing is owed, at most `timeout` ms; what is left then is failed. Gives how many that were."""
+        """Wait up to `timeout` ms until no call is open, then fail the rest. Returns how many calls were failed."""
         end = self.loop.time() + timeout / 1000.0
         while self.clients and self.loop.time() < end:
             await asyncio.sleep(0.01)
@@ -578,11 +600,11 @@
         left = list(self.clients.values())
         for client in left:
             client.call.finish(outcomes.FAILED, "the controller shuts down")
-            self._client_gone(client)
+            self._client_left(client)
         return len(left)
 
     def close(self) -> None:
-        """Nothing is taken in any more: what pools still tell is of no use to anyone."""
+        """Accept no more inputs: nothing needs the events that pools still report."""
         self.closed = True
         if self.exchange is not None:
             self.exchange.stop()
@@ -592,9 +614,9 @@
             pool.close()
 
 
-def _plain(answer: Callable[[], Any]) -> Method:
+def _simple_method(response: Callable[[], Any]) -> Method:
     def serve(call: ServerCall, data: bytes):
-        call.send(answer().SerializeToString())
+        call.send(response().SerializeToString())
         call.finish(Status.OK)
 
     return unary(serve)
@@ -617,7 +639,7 @@
     ms.SendUnload: GatewayServer._unload,
     ms.SendProbe: GatewayServer._probe,
     ms.CloseIdle: GatewayServer._close_idle,
-    ms.SendMessage: GatewayServer._message,
+    ms.SendMessage: GatewayServer._send_message,
     ms.WakeAt: lambda server, effect: server.batch.wake_at(effect.at),
     ms.Note: GatewayServer._note,
     ms.BeliefsGiven: GatewayServer._beliefs,
--- a/sprucespool/daemon/group.py
+++ b/sprucespool/daemon/group.py
@@ -1,4 +1,5 @@
-"""The group of controllers on sockets: carries what members say, tells the module who shares, shows the view."""
+"""Connects the group of controllers to sockets: sends and receives its messages, reports to the module how many
+controllers share the fleet, and serves the view of the group."""
 
 from __future__ import annotations
 
@@ -26,19 +27,19 @@
 from sprucespool.wire import platform_pb2 as platform
 
 BUILD = "0.2"
-# What a member tells of its load and capacity, in this order.
+# Metrics of load and capacity that a member reports, in this order.
 LOAD_METRICS = ("taken_a_second", "shed_a_second", "owed", "may_owe", "lag_ms", "cpu")
-# What rides on a message at the most.
-MOST_NOTE = 262_144
-# Seconds for others to ask a leaver for its part before its last words, at the most; how often it looks whether they
-# have; for what it answered to leave.
-LONGEST_LEAVE, LEAVE_LOOK, LAST_WORDS = 1.0, 0.02, 0.05
-STATES = {state: state.name.lower() for state in State}
-LOUD = {"suspected", "died", "isolated", "stalled", "renumbered", "twin", "distrusted", "refused"}
+# Limit for the payload of the fleet and the failover that a message carries.
+MAX_PAYLOAD_BYTES = 262_144
+# A leaving member waits at most this long for another member to request its share, and checks at this interval whether
+# one has. After its last messages it waits once more, so that they are sent before its sockets close.
+MAX_LEAVE_SECONDS, LEAVE_CHECK_INTERVAL_SECONDS, LAST_MESSAGES_SECONDS = 1.0, 0.02, 0.05
+STATE_NAMES = {state: state.name.lower() for state in State}
+WARNING_KINDS = {"suspected", "died", "isolated", "stalled", "renumbered", "twin", "distrusted", "refused"}
 
 
 class Line(msgspec.Struct):
-    """One member as a controller sees it. `age_ms`: since the last word of it that reached this controller."""
+    """One member as a controller sees it. `age_ms`: time since this controller last received news of it."""
 
     name: str
     address: str
@@ -58,7 +59,8 @@
 
 
 class View(msgspec.Struct):
-    """`digest` is equal where two controllers see the same processes telling the same of themselves."""
+    """A controller's view of the group. `digest` is equal for two controllers that see the same processes, each with
+    the same information about itself."""
 
     group: str
     me: str
@@ -75,90 +77,98 @@
 
 
 def new_start() -> int:
-    """A number for this process that is above all earlier ones of its seat, if the clock has not gone back; and if it
-    has, the group takes a higher one."""
+    """Returns a number for this process that is higher than those of all earlier processes of its member, unless the
+    clock was set back; in that case the group replaces it by a higher one."""
     return (time.time_ns() // 1_000_000 << 12) | int.from_bytes(os.urandom(2), "big") % 4096
 
 
 class GroupCarrier:
-    """One controller's member, wired. `tell` hands the module its facts; `on_event` is for users of the view."""
+    """Runs one controller's member of the group. `add_input` passes inputs to the module; `on_event` holds callbacks
+    for changes of the view."""
 
     def __init__(
         self,
         plan: ControllerPlan,
-        told: GroupPlan,
-        tell: Callable[[ms.Input], None],
+        settings: GroupPlan,
+        add_input: Callable[[ms.Input], None],
         log: Any,
-        about: Metadata,
-        kind: type[Group] = Group,
+        own_metadata: Metadata,
+        group_class: type[Group] = Group,
     ):
-        self.plan, self.told, self.tell, self.log, self.about = plan, told, tell, log, about
+        self.plan, self.settings, self.add_input, self.log, self.own_metadata = (
+            plan,
+            settings,
+            add_input,
+            log,
+            own_metadata,
+        )
         self.loop = asyncio.get_running_loop()
-        self.codec = Codec(told.name, told.mark)
-        self.kind = kind
+        self.codec = Codec(settings.name, settings.mark)
+        self.group_class = group_class
         self.pools: dict[str, Pool] = {}
         self.group: Group | None = None
         self.on_event: list[Callable[[Event], None]] = []
         self.timer: asyncio.TimerHandle | None = None
         self.stopped = False
         self.sharing: tuple[int, float] | None = None
-        self.refused: dict[str, int] = {}
-        self.looked = 0.0
-        # What rides on each message, of the fleet's view and of plans; who hears of what rode on one or came alone.
+        self.refused_counts: dict[str, int] = {}
+        self.last_check = 0.0
+        # Payloads of the shared view and of the plans that each message of the group carries, and the callbacks for
+        # received ones, whether they came with a message of the group or alone.
         self.fleet_payload: Callable[[], bytes] = bytes
         self.on_note: Callable[[bytes], None] = lambda data: None
         self.failover_payload: Callable[[], bytes] = bytes
         self.on_plan: Callable[[bytes], None] = lambda data: None
-        # Own load and capacity now, in the order of `figures`.
-        self.figures: tuple[str, ...] = LOAD_METRICS
+        # `measure_load` returns this controller's present load and capacity, in the order of `metric_names`.
+        self.metric_names: tuple[str, ...] = LOAD_METRICS
         self.measure_load: Callable[[], tuple[float, ...]] = tuple
 
     def now(self) -> float:
         return self.loop.time() * 1000.0
 
     def start(self, own_address: str) -> None:
-        """`own_address` is where this controller listens."""
-        place, told = self.plan.controller, self.told
-        limits = GroupLimits(period=told.period, ack_within=0.3 * told.period)
-        self.group = self.kind(
-            told.member or f"controller-{place.number}",
-            told.advertise or own_address,
+        """Join the group. `own_address` is the address at which this controller listens."""
+        place, settings = self.plan.controller, self.settings
+        limits = GroupLimits(period=settings.period, ack_within=0.3 * settings.period)
+        self.group = self.group_class(
+            settings.member or f"controller-{place.number}",
+            settings.advertise or own_address,
             new_start(),
-            [seed.address for seed in told.seeds],
+            [seed.address for seed in settings.seeds],
             About(place.region, place.zone, place.number, place.of, BUILD),
             self.plan.seed * 17 + place.number,
             limits,
             os.urandom(16),
-            told.loan,
+            settings.loan,
         )
         self._tick()
 
     def _tick(self):
         assert self.group is not None
-        self._do(self.group.tick(self.now()))
-        if self.loop.time() - self.looked > 1.0:
-            self.looked = self.loop.time()
+        self._carry_out(self.group.tick(self.now()))
+        if self.loop.time() - self.last_check > 1.0:
+            self.last_check = self.loop.time()
             self.group.update_figures(self.now(), self.measure_load())
-            for where, pool in list(self.pools.items()):
+            for member_address, pool in list(self.pools.items()):
                 pool.check()
                 if pool.quiet:
-                    del self.pools[where]
+                    del self.pools[member_address]
 
-    def _do(self, said: list[Outgoing]):
-        """After each step of the member: send, tell what changed, come back when something is due."""
+    def _carry_out(self, messages: list[Outgoing]):
+        """After each step of the member: send its messages, report changes, and set the timer for its next step."""
         group = self.group
         assert group is not None
         if self.stopped:
-            # Against a member that goes on by itself: whatever still reaches it, it says nothing more.
+            # A stopped member sends nothing more and sets no timer, whatever input still reaches it.
             return
-        for say in said:
-            self._send(say)
+        for outgoing in messages:
+            self._send(outgoing)
         for event in group.take_events():
             self._event(event)
         sharing = group.sharing()
         if sharing != self.sharing:
             self.sharing = sharing
-            self.tell(ms.Sharing(*sharing))
+            self.add_input(ms.Sharing(*sharing))
         if self.timer is not None:
             self.timer.cancel()
         due = group.due()
@@ -166,62 +176,64 @@
 
     def _event(self, event: Event):
         row = event.row
-        told = (
+        details = (
             {}
             if row is None
             else {"member": row.name, "address": row.address, "start": row.start, "zone": row.about.zone}
         )
-        log = self.log.warning if event.kind in LOUD else self.log.info
+        log = self.log.warning if event.kind in WARNING_KINDS else self.log.info
         log(
             "member",
             kind=event.kind,
             epoch=event.epoch,
-            **told,
+            **details,
             **({"by": event.by} if event.by else {}),
             **({"why": event.why} if event.why else {}),
         )
-        for hear in self.on_event:
-            hear(event)
+        for callback in self.on_event:
+            callback(event)
 
-    def _send(self, say: Outgoing):
+    def _send(self, outgoing: Outgoing):
         self._post(
-            say.to,
+            outgoing.to,
             platform.MemberMessage(
-                message=self.codec.encode(say.message), fleet=self.fleet_payload(), failover=self.failover_payload()
+                message=self.codec.encode(outgoing.message),
+                fleet=self.fleet_payload(),
+                failover=self.failover_payload(),
             ),
         )
 
     def send_note(self, to: str, note: bytes) -> None:
-        """Something for the user of the group there, with no message of the group's own."""
+        """Send a payload of the shared view, without a message of the group."""
         self._post(to, platform.MemberMessage(fleet=note))
 
-    def send_plan(self, to: str, said: bytes) -> None:
-        """A word of the council, or a plan told on, by itself."""
-        self._post(to, platform.MemberMessage(failover=said))
+    def send_plan(self, to: str, payload: bytes) -> None:
+        """Send a payload of the failover (a message of its council or a forwarded plan) alone."""
+        self._post(to, platform.MemberMessage(failover=payload))
 
-    def _post(self, to: str, what: platform.MemberMessage, again: bool = True):
+    def _post(self, to: str, content: platform.MemberMessage, may_retry: bool = True):
         if self.stopped:
             return
-        message = what.SerializeToString()
+        message = content.SerializeToString()
         try:
             pool = self._pool(to)
         except ValueError:
-            return  # a member that calls itself what is no address
+            return  # the address that a member claims is not valid
 
-        def heard(event: CallEvent):
-            # It crossed the announcement of its connection's end. A member that leaves is still to be reached.
-            if again and isinstance(event, Reset) and event.never_ran:
-                self.loop.call_soon(self._post, to, what, False)
+        def on_event(event: CallEvent):
+            # The call crossed the GOAWAY of its connection. Retried once: a leaving member must still be reached.
+            if may_retry and isinstance(event, Reset) and event.never_ran:
+                self.loop.call_soon(self._post, to, content, False)
 
-        # Nobody waits for what a member says; the protocol counts what does not come back. Given up after a while: a
-        # link that accepts and delivers nothing would else hold all of them.
-        call = pool.call(names.MEMBERSHIP_SAY, self.about, 1000.0, message, heard)
+        # Nothing waits for the call: the protocol detects missing replies. The call is cancelled after a while, because
+        # a link that accepts data and delivers nothing would otherwise keep all these calls open.
+        call = pool.call(names.MEMBERSHIP_SAY, self.own_metadata, 1000.0, message, on_event)
         self.loop.call_later(2.0, call.cancel)
 
-    def _pool(self, where: str) -> Pool:
-        """Raises ValueError on what is no loopback address: there is no TLS yet."""
-        if where not in self.pools:
-            host, port = loopback(where)
+    def _pool(self, member_address: str) -> Pool:
+        """Raises ValueError if it is not a loopback address: there is no TLS yet."""
+        if member_address not in self.pools:
+            host, port = loopback(member_address)
             limits = PoolLimits(
                 connections=1,
                 connect_timeout=500.0,
@@ -233,48 +245,48 @@
                 waiting=64,
                 source=self.plan.source,
             )
-            self.pools[where] = Pool(
+            self.pools[member_address] = Pool(
                 host,
                 port,
-                Limits(message=MAX_BYTES + MOST_NOTE + 4096, streams=1000),
+                Limits(message=MAX_BYTES + MAX_PAYLOAD_BYTES + 4096, streams=1000),
                 limits,
                 self.plan.seed * 31 + len(self.pools),
             )
-        return self.pools[where]
+        return self.pools[member_address]
 
-    # Hearing
+    # Received messages and requests
 
     def methods(self) -> dict[str, Method]:
-        return {names.MEMBERSHIP_SAY: unary(self._said), names.MEMBERSHIP_VIEW: unary(self._view)}
+        return {names.MEMBERSHIP_SAY: unary(self._receive), names.MEMBERSHIP_VIEW: unary(self._view)}
 
-    def _said(self, call: ServerCall, data: bytes):
+    def _receive(self, call: ServerCall, data: bytes):
         try:
-            told = platform.MemberMessage.FromString(data)
-            alone = not told.message and (told.fleet or told.failover)
-            message = None if alone else self.codec.decode(told.message)
+            received = platform.MemberMessage.FromString(data)
+            alone = not received.message and (received.fleet or received.failover)
+            message = None if alone else self.codec.decode(received.message)
             if message is not None:
                 loopback(message.sender.address)
-        except (DecodeError, MessageError, ValueError) as problem:
-            return call.finish(Status.INVALID_ARGUMENT, self._refuse(call, problem))
+        except (DecodeError, MessageError, ValueError) as error:
+            return call.finish(Status.INVALID_ARGUMENT, self._refuse(call, error))
         try:
-            if told.fleet:
-                self.on_note(told.fleet)
-            if told.failover:
-                self.on_plan(told.failover)
-        except ValueError as problem:
-            why = self._refuse(call, problem)
+            if received.fleet:
+                self.on_note(received.fleet)
+            if received.failover:
+                self.on_plan(received.failover)
+        except ValueError as error:
+            why = self._refuse(call, error)
             if message is None:
                 return call.finish(Status.INVALID_ARGUMENT, why)
         call.send(platform.MemberHeard().SerializeToString())
         call.finish(Status.OK)
         if self.group is not None and message is not None:
-            self._do(self.group.receive(self.now(), message))
+            self._carry_out(self.group.receive(self.now(), message))
 
-    def _refuse(self, call: ServerCall, problem: Exception) -> str:
-        why = str(problem)[:200]
-        # Texts come with figures of what was sent: a flood of different ones fills neither memory nor log.
-        known = why if why in self.refused or len(self.refused) < 64 else "others"
-        count = self.refused[known] = self.refused.get(known, 0) + 1
+    def _refuse(self, call: ServerCall, error: Exception) -> str:
+        why = str(error)[:200]
+        # The texts contain values from the message: the limit keeps a flood of them from filling memory and log.
+        counted_as = why if why in self.refused_counts or len(self.refused_counts) < 64 else "others"
+        count = self.refused_counts[counted_as] = self.refused_counts.get(counted_as, 0) + 1
         if count & (count - 1) == 0:
             self.log.warning("message refused", peer=call.peer, why=why, count=count)
         return why
@@ -288,23 +300,23 @@
     def view(self) -> View:
         group, now = self.group, self.now()
         assert group is not None
-        book = group.table
+        table = group.table
         members = [self._line(group.me, 0.0)] + [
-            self._line(one.row, now - one.last_known_at) for one in book.present.values()
+            self._line(entry.row, now - entry.last_known_at) for entry in table.present.values()
         ]
-        gone = [self._line(one.row, now - one.state_since) for one in book.gone.values()]
+        gone = [self._line(entry.row, now - entry.state_since) for entry in table.gone.values()]
         tally = group.tally
         members.sort(key=lambda line: (line.name, line.address))
         return View(
-            self.told.name,
+            self.settings.name,
             group.me.name,
             group.me.start,
             f"{group.digest:016x}",
-            book.epoch,
+            table.epoch,
             group.isolated,
             len(group.live()),
             group.share(),
-            list(self.figures),
+            list(self.metric_names),
             members,
             gone,
             {
@@ -315,7 +327,7 @@
                 "died": tally.died,
                 "refuted": tally.refuted,
                 "distrusted": tally.distrusted,
-                "refused": {**tally.refused, **self.refused},
+                "refused": {**tally.refused, **self.refused_counts},
             },
         )
 
@@ -331,7 +343,7 @@
             about.of,
             row.version,
             about.phase.name.lower(),
-            STATES[row.state],
+            STATE_NAMES[row.state],
             row.incarnation,
             round(max(0.0, age), 1),
             list(row.accusers) if row.state is State.SUSPECT else [],
@@ -339,26 +351,26 @@
             about.build,
         )
 
-    # Telling
+    # Changes of what this member reports of itself
 
-    def tell_about(self, **over: Any) -> None:
+    def update_about(self, **changes: Any) -> None:
         if self.group is not None:
-            self._do(self.group.update_about(self.now(), replace(self.group.about, **over)))
+            self._carry_out(self.group.update_about(self.now(), replace(self.group.about, **changes)))
 
     def draining(self) -> None:
-        """No new calls are taken; those begun go on."""
-        self.tell_about(phase=Phase.DRAINING)
+        """Report that this controller accepts no new calls and finishes the open ones."""
+        self.update_about(phase=Phase.DRAINING)
 
     async def leave(self) -> None:
-        """When nothing more will be sent to any invoker: lend the part, say the last words."""
+        """Lend this controller's share and leave the group. Called when nothing more will be sent to any invoker."""
         if self.group is None:
             return
-        self.tell_about(phase=Phase.LEAVING)
-        end = self.loop.time() + LONGEST_LEAVE
+        self.update_about(phase=Phase.LEAVING)
+        end = self.loop.time() + MAX_LEAVE_SECONDS
         while not self.group.share_is_lent and self.loop.time() < end:
-            await asyncio.sleep(LEAVE_LOOK)
-        self._do(self.group.leave(self.now()))
-        await asyncio.sleep(LAST_WORDS)
+            await asyncio.sleep(LEAVE_CHECK_INTERVAL_SECONDS)
+        self._carry_out(self.group.leave(self.now()))
+        await asyncio.sleep(LAST_MESSAGES_SECONDS)
 
     def stop(self) -> None:
         self.stopped = True
--- a/sprucespool/daemon/learning.py
+++ b/sprucespool/daemon/learning.py
@@ -1,4 +1,4 @@
-"""Exchange of what is known between controllers, and snapshots: the I/O round `sprucespool.learning`."""
+"""Exchanges claims about loaded copies between controllers and keeps snapshots: the I/O for `sprucespool.learning`."""
 
 from __future__ import annotations
 
@@ -34,13 +34,13 @@
 from sprucespool.wire import platform_pb2 as platform
 
 CHECK_INTERVAL_SECONDS = 0.1
-# Rows in a page for others, whatever they ask for.
+# Limit for a page, however many rows another controller requests.
 MAX_PAGE_ROWS = 500
 SERVING = it.Status.IN_SERVICE.value
 
 
 class Exchange:
-    """One controller's part: asks at its start, answers others, writes and reads its snapshot."""
+    """Requests claims at the start, answers the requests of other controllers, and reads and writes the snapshot."""
 
     def __init__(
         self,
@@ -48,14 +48,14 @@
         keep_alive: float,
         add_input: Callable[[ms.Input], None],
         log: Any,
-        about: Metadata,
+        own_metadata: Metadata,
         seed: int,
-        wall: Callable[[], float] | None = None,
+        wall_clock: Callable[[], float] | None = None,
         source: str = "",
     ):
         self.source = source
-        self.plan, self.add_input, self.log, self.about = plan, add_input, log, about
-        self.wall = wall or AnchoredClock().unix
+        self.plan, self.add_input, self.log, self.own_metadata = plan, add_input, log, own_metadata
+        self.wall_clock = wall_clock or AnchoredClock().unix
         self.loop = asyncio.get_running_loop()
         self.joining = JoiningController(
             [source.address for source in plan.sources], keep_alive, JoiningLimits(total_timeout=plan.within)
@@ -63,11 +63,11 @@
         self.page_builder = PageBuilder()
         self.pools: dict[str, Pool] = {}
         self.seed = seed
-        self.token = 0
-        self.waiting: list[tuple[ServerCall, int, int]] = []
+        self.last_token = 0
+        self.waiting_requests: list[tuple[ServerCall, int, int]] = []
         self.file = SnapshotFile(plan.snapshot, log, MAX_BYTES) if plan.snapshot else None
         self.snapshot_due = self.loop.time() + plan.snapshot_every / 1000.0
-        self.writing = False
+        self.snapshot_requested = False
         self.timer: asyncio.TimerHandle | None = None
         self.claims_reported = self.claims_withdrawn = 0
 
@@ -76,8 +76,8 @@
 
     def start(self) -> None:
         if self.file is not None:
-            self._restore(self.file, self.wall() * 1000.0)
-        self._do(self.joining.start(self.now()))
+            self._restore(self.file, self.wall_clock() * 1000.0)
+        self._carry_out(self.joining.start(self.now()))
         self._check()
 
     def _restore(self, file: SnapshotFile, wall_ms: float):
@@ -87,102 +87,104 @@
         try:
             rows, written_at = decode(data)
             if written_at <= 0 or written_at > wall_ms:
-                # A clock that went back: how old it is can't be known.
-                raise CodecError("written at a time that has not come")
-        except CodecError as problem:
-            return file.refuse(str(problem))
+                # The clock was set back: the age of the snapshot is unknown.
+                raise CodecError("written at a time in the future")
+        except CodecError as error:
+            return file.refuse(str(error))
         age = wall_ms - written_at
         self.log.info("snapshot read", rows=len(rows), age_ms=round(age))
-        self._do(self.joining.snapshot(self.now(), rows, age))
+        self._carry_out(self.joining.snapshot(self.now(), rows, age))
 
     def _check(self):
         self.timer = self.loop.call_later(CHECK_INTERVAL_SECONDS, self._check)
-        self._do(self.joining.check(self.now()))
-        if self.file is not None and self.loop.time() >= self.snapshot_due and not self.writing:
+        self._carry_out(self.joining.check(self.now()))
+        if self.file is not None and self.loop.time() >= self.snapshot_due and not self.snapshot_requested:
             self.snapshot_due = self.loop.time() + self.plan.snapshot_every / 1000.0
-            self.writing = True
-            self._ask_module()
+            self.snapshot_requested = True
+            self._request_beliefs()
 
-    def _do(self, steps: Iterable[FetchPage | ReportClaim]):
+    def _carry_out(self, steps: Iterable[FetchPage | ReportClaim]):
         claims = []
         for step in steps:
             if isinstance(step, ReportClaim):
-                one = step.claim
-                claims.append(ms.Claim(one.invoker, one.boot, one.model, one.copies, one.lanes, step.lifetime))
+                claim = step.claim
+                claims.append(
+                    ms.Claim(claim.invoker, claim.boot, claim.model, claim.copies, claim.lanes, step.lifetime)
+                )
                 self.claims_reported += step.lifetime > 0
                 self.claims_withdrawn += step.lifetime <= 0
             else:
-                self._ask(step)
+                self._fetch_page(step)
         if claims:
             self.add_input(ms.Told(claims))
 
-    # What the daemon sees pass by
+    # Events of the daemon
 
-    def roster(self, given: ms.Roster) -> None:
-        serving = [(row.invoker, row.boot) for row in given.rows if row.status == SERVING]
-        gone = [row.invoker for row in given.rows if row.status != SERVING]
-        if given.kind in (it.News.REPLACE.value, it.News.RESTORED.value):
+    def roster(self, change: ms.Roster) -> None:
+        serving = [(row.invoker, row.boot) for row in change.rows if row.status == SERVING]
+        removed = [row.invoker for row in change.rows if row.status != SERVING]
+        if change.kind in (it.News.REPLACE.value, it.News.RESTORED.value):
             named = {invoker for invoker, _ in serving}
-            gone += [invoker for invoker in self.joining.boots if invoker not in named]
-        # After the module heard of it: it must know an invoker before anything is told of it.
-        self.loop.call_soon(lambda: self._do(self.joining.roster_changed(self.now(), serving, gone)))
+            removed += [invoker for invoker in self.joining.boots if invoker not in named]
+        # After the module received the roster: it must know an invoker before it gets claims about it.
+        self.loop.call_soon(lambda: self._carry_out(self.joining.roster_changed(self.now(), serving, removed)))
 
-    def ended(self, invoker: str, model: str, outcome: it.Outcome, found: it.Found) -> None:
+    def forward_ended(self, invoker: str, model: str, outcome: it.Outcome, found: it.Found) -> None:
         if not self.joining.untested:
             return
-        how = found.value if outcome is it.Outcome.RETURNED else "miss" if outcome is it.Outcome.MISS else None
-        self._do(self.joining.forward_ended(self.now(), invoker, model, how))
+        result = found.value if outcome is it.Outcome.RETURNED else "miss" if outcome is it.Outcome.MISS else None
+        self._carry_out(self.joining.forward_ended(self.now(), invoker, model, result))
 
-    def member(self, address: str) -> None:
-        """The group told of a member that is there: it may be asked."""
+    def member_joined(self, address: str) -> None:
+        """The group reports a present member: it may be used as a source."""
         if self.plan.members:
-            self._do(self.joining.add_source(self.now(), address))
+            self._carry_out(self.joining.add_source(self.now(), address))
 
-    # Asking
+    # Requests to sources
 
-    def _pool(self, where: str) -> Pool:
-        """Raises ValueError on what is no address."""
-        if where not in self.pools:
-            host, port = address(where)
-            self.pools[where] = Pool(
+    def _pool(self, source: str) -> Pool:
+        """Raises ValueError if `source` is not an address."""
+        if source not in self.pools:
+            host, port = address(source)
+            self.pools[source] = Pool(
                 host,
                 port,
                 Limits(message=MAX_BYTES + 4096),
                 PoolLimits(connections=1, connect_timeout=500.0, source=self.source),
                 self.seed,
             )
-        return self.pools[where]
+        return self.pools[source]
 
-    def _ask(self, step: FetchPage):
+    def _fetch_page(self, step: FetchPage):
         request = platform.PageRequest(cursor=step.cursor, most=step.max_rows).SerializeToString()
-        got: list[bytes] = []
+        messages: list[bytes] = []
 
-        def heard(event: CallEvent):
+        def on_event(event: CallEvent):
             if isinstance(event, Message):
-                got.append(event.data)
+                messages.append(event.data)
                 call.consumed(event.size)
             elif isinstance(event, FINAL_EVENTS):
-                self._asked(step, event, got)
+                self._page_ended(step, event, messages)
 
         limit = self.joining.limits.page_timeout
-        call = self._pool(step.source).call(names.LEARNING_PAGE, self.about, limit, request, heard)
-        # A source that accepts and never answers.
+        call = self._pool(step.source).call(names.LEARNING_PAGE, self.own_metadata, limit, request, on_event)
+        # Guards against a source that accepts the call and never answers.
         self.loop.call_later(limit / 1000.0 + 0.05, call.cancel)
 
-    def _asked(self, step: FetchPage, event: Any, got: list[bytes]):
+    def _page_ended(self, step: FetchPage, event: Any, messages: list[bytes]):
         why = ""
-        if isinstance(event, Answered) and event.status is Status.OK and len(got) == 1:
+        if isinstance(event, Answered) and event.status is Status.OK and len(messages) == 1:
             try:
-                reply = platform.PageReply.FromString(got[0])
+                reply = platform.PageReply.FromString(messages[0])
                 rows, _ = decode(reply.page)
-                return self._do(self.joining.page_received(self.now(), step.source, rows, reply.more))
-            except (DecodeError, CodecError) as problem:
-                why = str(problem)
+                return self._carry_out(self.joining.page_received(self.now(), step.source, rows, reply.more))
+            except (DecodeError, CodecError) as error:
+                why = str(error)
         why = why or str(event)[:200]
         self.log.warning("source lost", source=step.source, why=why)
-        self._do(self.joining.source_failed(self.now(), step.source, why))
+        self._carry_out(self.joining.source_failed(self.now(), step.source, why))
 
-    # Answering
+    # Answers to other controllers
 
     def methods(self) -> dict[str, Method]:
         return {names.LEARNING_PAGE: unary(self._page)}
@@ -190,41 +192,44 @@
     def _page(self, call: ServerCall, data: bytes):
         if not self.plan.answer:
             return call.finish(Status.PERMISSION_DENIED, "this controller tells nothing")
-        asked = parse_request(call, platform.PageRequest, data)
-        if asked is None:
+        request = parse_request(call, platform.PageRequest, data)
+        if request is None:
             return
-        self.waiting.append((call, asked.cursor, max(1, min(MAX_PAGE_ROWS, asked.most or MAX_PAGE_ROWS))))
-        # Pages after the first go by the rows that the first was cut from.
-        if asked.cursor == 0 and self.page_builder.stale(self.now()):
-            self._ask_module()
+        self.waiting_requests.append((call, request.cursor, max(1, min(MAX_PAGE_ROWS, request.most or MAX_PAGE_ROWS))))
+        # Later pages are cut from the same rows as the first.
+        if request.cursor == 0 and self.page_builder.stale(self.now()):
+            self._request_beliefs()
         else:
             self._answer_waiting()
 
-    def _ask_module(self):
-        self.token += 1
-        self.add_input(ms.BeliefsAsked(self.token))
+    def _request_beliefs(self):
+        self.last_token += 1
+        self.add_input(ms.BeliefsAsked(self.last_token))
 
-    def given(self, effect: ms.BeliefsGiven) -> None:
-        """The module's beliefs, asked for a page or for a snapshot."""
+    def beliefs_received(self, effect: ms.BeliefsGiven) -> None:
+        """Use the module's beliefs, which were requested for a page or for a snapshot."""
         now = self.now()
         self.page_builder.rebuild(
             now,
-            ((one.invoker, one.boot, one.model, one.copies, one.lanes, one.age, one.own) for one in effect.known),
+            (
+                (known.invoker, known.boot, known.model, known.copies, known.lanes, known.age, known.own)
+                for known in effect.known
+            ),
             self.joining.untested_claim,
         )
-        if self.writing and self.file is not None:
-            self.writing = False
+        if self.snapshot_requested and self.file is not None:
+            self.snapshot_requested = False
             self.file.write(self.snapshot_bytes())
         self._answer_waiting()
 
     def snapshot_bytes(self) -> bytes:
         rows, _ = self.page_builder.page(self.now(), 0, len(self.page_builder.rows))
-        return encode(rows, self.wall() * 1000.0)
+        return encode(rows, self.wall_clock() * 1000.0)
 
     def _answer_waiting(self):
-        waiting, self.waiting = self.waiting, []
-        for call, cursor, most in waiting:
-            rows, more = self.page_builder.page(self.now(), cursor, most)
+        waiting, self.waiting_requests = self.waiting_requests, []
+        for call, cursor, max_rows in waiting:
+            rows, more = self.page_builder.page(self.now(), cursor, max_rows)
             call.send(platform.PageReply(page=encode(rows), more=more).SerializeToString())
             call.finish(Status.OK)
 
@@ -234,9 +239,9 @@
         for pool in self.pools.values():
             pool.close()
 
-    def write_last_snapshot(self, take: Callable[[], None]) -> None:
-        """At SIGTERM: one more snapshot, of what is believed now. `take` has the gateway take what waits."""
+    def write_last_snapshot(self, flush: Callable[[], None]) -> None:
+        """At shutdown, write a snapshot of the present beliefs. `flush` makes the gateway take its waiting inputs."""
         if self.file is not None:
-            self.writing = True
-            self._ask_module()
-            take()
+            self.snapshot_requested = True
+            self._request_beliefs()
+            flush()
--- a/sprucespool/daemon/logs.py
+++ b/sprucespool/daemon/logs.py
@@ -1,4 +1,4 @@
-"""Logs: one JSON object a line."""
+"""Logs with one JSON object per line."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
 
 
-class _Sink:
-    """A file whose failures take nothing else with them: a log that can't be written is missing some lines."""
+class _FaultTolerantFile:
+    """A log file whose write errors are ignored: lines that cannot be written are lost, and the process goes on."""
 
     def __init__(self, file: TextIO):
         self.file = file
@@ -31,12 +31,13 @@
             pass
 
 
-def open_log(level: str, file: str | None, **always: Any) -> Any:
-    """A logger. `file` None writes to standard error. Raises OSError where the file can't be open_log."""
-    sink = _Sink(open(file, "a", buffering=1) if file else sys.stderr)
+def open_log(level: str, file: str | None, **bound: Any) -> Any:
+    """Open a logger that adds `bound` to each line; without `file` it writes to standard error. Raises OSError if the
+    file cannot be opened."""
+    log_file = _FaultTolerantFile(open(file, "a", buffering=1) if file else sys.stderr)
     encoder = msgspec.json.Encoder(enc_hook=str)
     return structlog.wrap_logger(
-        structlog.WriteLogger(sink),  # type: ignore[arg-type]
+        structlog.WriteLogger(log_file),  # type: ignore[arg-type]
         processors=[
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
@@ -44,5 +45,5 @@
         ],
         wrapper_class=structlog.make_filtering_bound_logger(LEVELS[level]),
         cache_logger_on_first_use=True,
-        **always,
-    ).bind(**always)
+        **bound,
+    ).bind(**bound)
--- a/sprucespool/daemon/request.py
+++ b/sprucespool/daemon/request.py
@@ -1,4 +1,4 @@
-"""A protobuf request read at any of the daemon's doors."""
+"""Parses protobuf requests for the gRPC methods of the daemon."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def parse_request(call: ServerCall, kind: Any, data: bytes) -> Any:
-    """The message, or None where it can't be read: the call is then answered with the status of malformed ones."""
+    """Returns the message, or None if it cannot be parsed; the call is then ended with the status MALFORMED."""
     try:
         return kind.FromString(data)
     except DecodeError:
--- a/sprucespool/daemon/roster.py
+++ b/sprucespool/daemon/roster.py
@@ -1,4 +1,4 @@
-"""Where the daemon hears of invokers: a roster service over a stream, or a watched file."""
+"""Sources of the roster of invokers: a stream from a roster service, or a watched file."""
 
 from __future__ import annotations
 
@@ -20,44 +20,44 @@
 from sprucespool.wire import names
 from sprucespool.wire import platform_pb2 as platform
 
-FILE_EVERY = 0.25
+FILE_CHECK_INTERVAL_SECONDS = 0.25
 STATUSES = {0: it.Status.IN_SERVICE.value, 1: it.Status.DRAINING.value, 2: it.Status.GONE.value}
 KINDS = {0: it.News.UPDATE.value, 1: it.News.REPLACE.value}
-Tell = Callable[[ms.Input], None]
+AddInput = Callable[[ms.Input], None]
 
 
 class RosterFile:
-    """Reads a file again whenever it changes; a bad one is logged and the last good one stays in force."""
+    """Reads the file again whenever it changes. An invalid file is logged; the last valid content stays in force."""
 
-    def __init__(self, path: str, tell: Tell, log: Any):
-        self.path, self.tell, self.log, self.source = path, tell, log, path
+    def __init__(self, path: str, add_input: AddInput, log: Any):
+        self.path, self.add_input, self.log, self.source = path, add_input, log, path
         self.loop = asyncio.get_running_loop()
-        self.seen: tuple | None = None
-        self.version, self.complained = 0, ""
+        self.last_mark: tuple | None = None
+        self.version, self.last_error = 0, ""
         self.timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        self._look()
+        self._check()
 
-    def _look(self):
-        self.timer = self.loop.call_later(FILE_EVERY, self._look)
+    def _check(self):
+        self.timer = self.loop.call_later(FILE_CHECK_INTERVAL_SECONDS, self._check)
         try:
-            about = os.stat(self.path)
-            mark = about.st_mtime_ns, about.st_size, about.st_ino
-            if mark == self.seen:
+            stat = os.stat(self.path)
+            mark = stat.st_mtime_ns, stat.st_size, stat.st_ino
+            if mark == self.last_mark:
                 return
-            self.seen = mark
+            self.last_mark = mark
             with open(self.path, encoding="utf-8") as source:
-                found = read(Invokers, source.read(), self.path)
-        except (OSError, UnicodeDecodeError, SettingsError) as problem:
-            # Told once for each state of the file, not four times a second.
-            if str(problem) != self.complained:
-                self.log.error("roster file refused", why=str(problem))
-            self.complained = str(problem)
+                content = read(Invokers, source.read(), self.path)
+        except (OSError, UnicodeDecodeError, SettingsError) as error:
+            # Logged once for each state of the file, not at every check.
+            if str(error) != self.last_error:
+                self.log.error("roster file refused", why=str(error))
+            self.last_error = str(error)
             return
-        self.complained = ""
-        # By the file's own time: who reads the same file has the same versions.
-        self.version = max(self.version + 1, about.st_mtime_ns // 1_000_000)
+        self.last_error = ""
+        # The version comes from the file's modification time, so that all readers of the file have the same versions.
+        self.version = max(self.version + 1, stat.st_mtime_ns // 1_000_000)
         rows = [
             ms.Row(
                 line.address,
@@ -67,15 +67,15 @@
                 it.Status.DRAINING.value if line.draining else it.Status.IN_SERVICE.value,
                 line.size,
             )
-            for line in found.invokers
+            for line in content.invokers
         ]
         self.log.info("roster", source=self.path, version=self.version, invokers=len(rows))
-        self.tell(ms.Roster(it.News.REPLACE.value, self.version, rows))
+        self.add_input(ms.Roster(it.News.REPLACE.value, self.version, rows))
 
     def subscribe(self, active: bool) -> None:
-        """Asked by the module: the file is told again as it stands."""
+        """On request of the module, report the file's content again."""
         if active:
-            self.seen = None
+            self.last_mark = None
 
     def stop(self) -> None:
         if self.timer:
@@ -83,13 +83,28 @@
 
 
 class RosterWatch:
-    """Keeps a subscription to a roster service, with jittered pauses after a break; or, where the decision module
-    asks for itself, tells it of the break."""
-
-    def __init__(self, where: str, asked: bool, tell: Tell, log: Any, seed: int, about: Metadata, source: str = ""):
-        host, port = address(where)
-        self.where, self.asked, self.tell, self.log, self.about = where, asked, tell, log, about
-        # As it names itself; who hears when the connection to it is gone.
+    """Keeps a subscription to a roster service. After a break it subscribes again with jittered backoff or, if the
+    decision module requests the roster itself (`asked`), reports the break to the module."""
+
+    def __init__(
+        self,
+        service: str,
+        asked: bool,
+        add_input: AddInput,
+        log: Any,
+        seed: int,
+        own_metadata: Metadata,
+        source: str = "",
+    ):
+        host, port = address(service)
+        self.service, self.asked, self.add_input, self.log, self.own_metadata = (
+            service,
+            asked,
+            add_input,
+            log,
+            own_metadata,
+        )
+        # Name that the roster service gives itself in its messages; `on_lost` is called when the stream has ended.
         self.source = ""
         self.on_lost: Callable[[], None] = lambda: None
         self.loop = asyncio.get_running_loop()
@@ -110,14 +125,14 @@
         self.stopped = False
 
     def start(self) -> None:
-        self._look()
+        self._check()
         if not self.asked:
             self._watch()
 
-    def _look(self):
+    def _check(self):
         if not self.stopped:
             self.pool.check()
-            self.loop.call_later(1.0, self._look)
+            self.loop.call_later(1.0, self._check)
 
     def subscribe(self, active: bool) -> None:
         if active:
@@ -131,38 +146,40 @@
             return
         if self.call is not None and not self.call.over:
             self.call.cancel()
-        request = platform.RosterRequest(controller=self.about.get(names.CONTROLLER, ""))
-        self.call = self.pool.call(names.ROSTER_WATCH, self.about, None, request.SerializeToString(), self._heard)
+        request = platform.RosterRequest(controller=self.own_metadata.get(names.CONTROLLER, ""))
+        self.call = self.pool.call(
+            names.ROSTER_WATCH, self.own_metadata, None, request.SerializeToString(), self._watch_event
+        )
 
     def fetch(self) -> None:
-        def heard(event: CallEvent):
+        def on_event(event: CallEvent):
             if isinstance(event, Message):
-                self._news(event.data)
+                self._received(event.data)
                 call.consumed(event.size)
             elif not isinstance(event, (Answered, Drained)) or isinstance(event, Answered) and event.status:
-                self.tell(ms.Roster(it.News.UNAVAILABLE.value))
+                self.add_input(ms.Roster(it.News.UNAVAILABLE.value))
 
-        call = self.pool.call(names.ROSTER_FETCH, self.about, 5000.0, b"", heard)
+        call = self.pool.call(names.ROSTER_FETCH, self.own_metadata, 5000.0, b"", on_event)
 
-    def _heard(self, event: CallEvent):
+    def _watch_event(self, event: CallEvent):
         if isinstance(event, Message):
             self.backoff.succeeded()
-            self._news(event.data)
+            self._received(event.data)
             if self.call is not None:
                 self.call.consumed(event.size)
         elif not isinstance(event, Drained) and not self.stopped:
-            # The old list stays in force: a dead roster must not empty the fleet.
-            self.log.warning("roster lost", source=self.where, why=str(event)[:200])
+            # The last roster stays in force: the loss of the roster service must not empty the fleet.
+            self.log.warning("roster lost", source=self.service, why=str(event)[:200])
             self.on_lost()
             if self.asked:
-                self.tell(ms.Roster(it.News.UNAVAILABLE.value))
+                self.add_input(ms.Roster(it.News.UNAVAILABLE.value))
             else:
                 self.backoff.failed(self.loop.time() * 1000.0)
                 self.timer = self.loop.call_later(self.backoff.pause / 1000.0, self._watch)
 
-    def _news(self, data: bytes):
+    def _received(self, data: bytes):
         try:
-            news = platform.RosterNews.FromString(data)
+            message = platform.RosterNews.FromString(data)
             rows = [
                 ms.Row(
                     entry.address,
@@ -174,15 +191,15 @@
                     entry.boot,
                     entry.age_ms if entry.HasField("age_ms") else None,
                 )
-                for entry in news.entries
+                for entry in message.entries
             ]
             for row in rows:
                 address(row.invoker)
-        except (DecodeError, KeyError, ValueError) as problem:
-            return self.log.error("roster news refused", source=self.where, why=str(problem)[:200])
-        self.log.info("roster", source=self.where, version=news.version, entries=len(rows))
-        self.source = news.source[:64]
-        self.tell(ms.Roster(KINDS.get(news.kind, it.News.UPDATE.value), news.version, rows))
+        except (DecodeError, KeyError, ValueError) as error:
+            return self.log.error("roster news refused", source=self.service, why=str(error)[:200])
+        self.log.info("roster", source=self.service, version=message.version, entries=len(rows))
+        self.source = message.source[:64]
+        self.add_input(ms.Roster(KINDS.get(message.kind, it.News.UPDATE.value), message.version, rows))
 
     def stop(self) -> None:
         self.stopped = True
--- a/sprucespool/daemon/serve.py
+++ b/sprucespool/daemon/serve.py
@@ -1,4 +1,4 @@
-"""One controller process, from its settings to its end."""
+"""Runs one controller process, from its settings to its shutdown."""
 
 from __future__ import annotations
 
@@ -30,30 +30,30 @@
 
 
 class LoadMeter:
-    """Load and capacity of this process since it was last asked, in the order of `group.LOAD_METRICS`."""
+    """Measures load and capacity of this process since the last call, in the order of `group.LOAD_METRICS`."""
 
     def __init__(self, server: GatewayServer):
         self.server = server
-        self.before = server.now(), 0, 0, time.process_time()
+        self.previous = server.now(), 0, 0, time.process_time()
 
     def values(self) -> tuple[float, ...]:
         server, counts = self.server, self.server.gateway.counts
-        at, taken, shed, cpu = self.before
+        since, taken, shed, cpu = self.previous
         now, shed_now = server.now(), counts.shed + server.turned_away
-        self.before = now, counts.taken, shed_now, time.process_time()
-        span = max(1.0, now - at) / 1000.0
+        self.previous = now, counts.taken, shed_now, time.process_time()
+        duration_seconds = max(1.0, now - since) / 1000.0
         return (
-            round((counts.taken - taken) / span, 1),
-            round((shed_now - shed) / span, 1),
+            round((counts.taken - taken) / duration_seconds, 1),
+            round((shed_now - shed) / duration_seconds, 1),
             float(len(server.clients)),
             float(server.plan.bounds.calls),
             round(server.batch.lag, 1),
-            round((self.before[3] - cpu) / span, 3),
+            round((self.previous[3] - cpu) / duration_seconds, 3),
         )
 
 
 class Daemon:
-    """The wiring; `start`, then `stop`."""
+    """Connects the parts of a controller. Call `start`, then `stop`."""
 
     def __init__(
         self,
@@ -67,19 +67,19 @@
         steer: type[Steer] = Steer,
     ):
         self.plan, self.log = plan, log
-        self.sink = open(plan.record, "wb") if plan.record else None
-        self.server = GatewayServer(plan, log, self.sink, decider, library)
+        self.record_file = open(plan.record, "wb") if plan.record else None
+        self.server = GatewayServer(plan, log, self.record_file, decider, library)
         self.group: GroupCarrier | None = None
         if plan.group is not None:
-            self.group = GroupCarrier(plan, plan.group, self.server.add_input, log, self.server.about, member)
-            self.group.on_event.append(self._member)
+            self.group = GroupCarrier(plan, plan.group, self.server.add_input, log, self.server.own_metadata, member)
+            self.group.on_event.append(self._member_event)
             self.group.measure_load = LoadMeter(self.server).values
         self.fleet: FleetCarrier | None = None
         if plan.fleet_view is not None and plan.group is not None and self.group is not None:
             self.fleet = self.server.fleet = FleetCarrier(
-                plan, plan.fleet_view, plan.group, self.group, self._told, log, view
+                plan, plan.fleet_view, plan.group, self.group, self._add_input, log, view
             )
-            self.fleet.probe = self.server.ask_ready
+            self.fleet.probe = self.server.request_readiness
         self.failover: FailoverCarrier | None = None
         if plan.failover is not None and self.group is not None and self.fleet is not None:
             self.failover = self.server.failover = FailoverCarrier(
@@ -104,18 +104,18 @@
                 half_received=bounds.half_received,
             ),
         )
-        # The listener hears from the server how late the loop is.
+        # The listener takes from the server how long an accepted connection may have waited for the event loop.
         self.listener.acceptor.possible_wait_ms = self.server.batch.pace.possible_wait_ms
-        tell = self._roster_told
+        on_roster = self._roster_input
         self.roster: RosterFile | RosterWatch
         if plan.roster.watch is not None:
             self.roster = RosterWatch(
                 plan.roster.watch,
                 plan.roster.asked,
-                tell,
+                on_roster,
                 log,
                 plan.seed * 31 + plan.controller.number,
-                dict(self.server.about),
+                dict(self.server.own_metadata),
                 plan.source,
             )
             if self.fleet is not None:
@@ -123,45 +123,45 @@
             self.server.fetch_roster = self.roster.fetch
         else:
             assert plan.roster.file is not None
-            self.roster = RosterFile(plan.roster.file, tell, log)
+            self.roster = RosterFile(plan.roster.file, on_roster, log)
         self.server.subscribe = self.roster.subscribe
 
-    def _roster_told(self, given: ms.Input):
-        if self.fleet is not None and isinstance(given, ms.Roster):
-            # The view tells the module what all know of it.
-            return self.fleet.roster(given, self.roster.source or self.plan.roster.name)
-        self._told(given)
+    def _roster_input(self, item: ms.Input):
+        if self.fleet is not None and isinstance(item, ms.Roster):
+            # The shared view passes on to the module what the whole group knows of the roster.
+            return self.fleet.roster(item, self.roster.source or self.plan.roster.name)
+        self._add_input(item)
 
-    def _told(self, given: ms.Input):
-        self.server.ready = self.server.ready or isinstance(given, ms.Roster)
-        self.server.add_input(given)
-        if self.server.exchange is not None and isinstance(given, ms.Roster):
-            self.server.exchange.roster(given)
+    def _add_input(self, item: ms.Input):
+        self.server.ready = self.server.ready or isinstance(item, ms.Roster)
+        self.server.add_input(item)
+        if self.server.exchange is not None and isinstance(item, ms.Roster):
+            self.server.exchange.roster(item)
 
-    def _member(self, event: Event):
+    def _member_event(self, event: Event):
         if self.server.exchange is not None and event.row is not None and event.kind in ("joined", "restarted"):
-            self.server.exchange.member(event.row.address)
+            self.server.exchange.member_joined(event.row.address)
 
     async def start(self) -> int:
-        """Gives the port. Raises OSError where the address can't be had."""
-        host, port = loopback(self.plan.listen)
-        found = await self.listener.start(host, port)
+        """Returns the port. Raises OSError if the address is not available."""
+        host, listen_port = loopback(self.plan.listen)
+        port = await self.listener.start(host, listen_port)
         self.server.add_input(ms.Roster(it.News.RESTORED.value))
         self.roster.start()
         if self.server.exchange is not None:
             self.server.exchange.start()
         if self.group is not None:
-            self.group.start(f"{host}:{found}")
+            self.group.start(f"{host}:{port}")
         if self.fleet is not None:
             self.fleet.start()
         if self.failover is not None:
             self.failover.start()
-        return found
+        return port
 
     async def stop(self, timeout: float) -> int:
-        """No new calls, owed answers given; gives how many were failed for want of time."""
-        self.server.leaving = True
-        # Those of the group are heard to the end: a controller that drains is not one that is silent.
+        """Accept no new calls and answer the open ones. Returns how many were failed because the time was up."""
+        self.server.stopping = True
+        # Group messages are accepted to the end: other members must not take a draining controller for a dead one.
         self.listener.go_away(frozenset(self.group.methods()) if self.group is not None else frozenset())
         if self.group is not None:
             self.group.draining()
@@ -200,29 +200,29 @@
     daemon = Daemon(plan, log, decider, library, member, view, failover, steer)
     try:
         port = await daemon.start()
-    except OSError as problem:
-        print(f"{plan.listen}: can't listen: {problem.strerror or problem}", file=sys.stderr)
+    except OSError as error:
+        print(f"{plan.listen}: can't listen: {error.strerror or error}", file=sys.stderr)
         daemon.close()
         return 2
-    ending, at_once = asyncio.Event(), asyncio.Event()
+    shutdown, immediate = asyncio.Event(), asyncio.Event()
 
-    def signalled():
-        (at_once if ending.is_set() else ending).set()
+    def on_signal():
+        (immediate if shutdown.is_set() else shutdown).set()
 
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, signalled)
+        loop.add_signal_handler(number, on_signal)
     log.info("listening", address=f"{plan.listen.rpartition(':')[0]}:{port}")
     print(f"listening on {plan.listen.rpartition(':')[0]}:{port}", flush=True)
-    # What stands after the start lives as long as the process: the collector need not look through it again.
+    # Objects that exist after the start live as long as the process: the garbage collector need not scan them again.
     gc.freeze()
     gc.set_threshold(50_000, 20, 100)
-    await ending.wait()
+    await shutdown.wait()
     log.info("stopping", owed=daemon.server.gateway.owed)
     stopping = loop.create_task(daemon.stop(plan.stop_within))
-    hurry = loop.create_task(at_once.wait())
-    await asyncio.wait({stopping, hurry}, return_when=asyncio.FIRST_COMPLETED)
+    interrupt = loop.create_task(immediate.wait())
+    await asyncio.wait({stopping, interrupt}, return_when=asyncio.FIRST_COMPLETED)
     left = stopping.result() if stopping.done() else len(daemon.server.clients)
-    hurry.cancel()
+    interrupt.cancel()
     stopping.cancel()
     daemon.close()
     counts = {
@@ -246,6 +246,6 @@
     steer: type[Steer] = Steer,
     loop: Callable[[], asyncio.AbstractEventLoop] | None = None,
 ) -> int:
-    """Run one controller until it is told to end; gives the exit status."""
+    """Run one controller until a signal stops it. Returns the exit status."""
     with asyncio.Runner(loop_factory=loop) as runner:
         return runner.run(_serve(plan, decider, library, member, view, failover, steer))
--- a/sprucespool/daemon/snapshots.py
+++ b/sprucespool/daemon/snapshots.py
@@ -1,4 +1,4 @@
-"""Files that are written whole or not at all; what can't be read is set aside under another name, and said so once."""
+"""Files that are written completely or not at all. An invalid one is renamed, so that it is kept and logged once."""
 
 from __future__ import annotations
 
@@ -8,51 +8,51 @@
 
 
 def _sync_folder(folder: Path) -> None:
-    """Make renames in the folder last."""
-    number = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
+    """Make renames in the folder durable."""
+    descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
-        os.fsync(number)
+        os.fsync(descriptor)
     finally:
-        os.close(number)
+        os.close(descriptor)
 
 
 def write_durably(path: Path, data: bytes) -> None:
-    """Replace the file by the data: after this either the old or the new content lasts, never a part of one.
+    """Replace the file's content atomically and durably: a crash leaves either the old or the new content, complete.
 
-    Raises OSError; then the new content may not last, and the old one may not stand any more.
+    Raises OSError; then the new content may not be durable, and the old one may already be replaced.
     """
-    part = path.with_name(path.name + ".part")
+    temporary = path.with_name(path.name + ".part")
     try:
-        with open(part, "wb") as sink:
-            sink.write(data)
-            sink.flush()
-            os.fsync(sink.fileno())
-        os.replace(part, path)
+        with open(temporary, "wb") as file:
+            file.write(data)
+            file.flush()
+            os.fsync(file.fileno())
+        os.replace(temporary, path)
         _sync_folder(path.parent)
     except OSError:
         try:
-            part.unlink(missing_ok=True)
+            temporary.unlink(missing_ok=True)
         except OSError:
-            # Written over by the next try.
+            # The next write overwrites it.
             pass
         raise
 
 
 class SnapshotFile:
-    """`most` bytes are read of it at the most."""
+    """A file that holds the last snapshot. At most a little more than `max_bytes` of it are read."""
 
-    def __init__(self, path: str, log: Any, most: int):
-        self.path, self.log, self.most = Path(path), log, most
-        # Whether the last write failed: a folder that is full for an hour is said to be so once.
+    def __init__(self, path: str, log: Any, max_bytes: int):
+        self.path, self.log, self.max_bytes = Path(path), log, max_bytes
+        # Whether the last write failed: a full disk is logged once, not at every write.
         self.failing = False
 
     def write(self, data: bytes) -> bool:
-        """Whether the data lasts now."""
+        """Returns whether the data was written durably."""
         try:
             write_durably(self.path, data)
-        except OSError as problem:
+        except OSError as error:
             if not self.failing:
-                self.log.error("snapshot not written", file=str(self.path), why=str(problem))
+                self.log.error("snapshot not written", file=str(self.path), why=str(error))
             self.failing = True
             return False
         if self.failing:
@@ -63,14 +63,15 @@
     def read(self) -> bytes | None:
         try:
             with open(self.path, "rb") as source:
-                return source.read(self.most + 1024)
+                return source.read(self.max_bytes + 1024)
         except FileNotFoundError:
             return None
-        except OSError as problem:
-            self.log.error("snapshot not read", file=str(self.path), why=str(problem))
+        except OSError as error:
+            self.log.error("snapshot not read", file=str(self.path), why=str(error))
             return None
 
     def refuse(self, why: str) -> None:
+        """Rename an invalid snapshot, so that it is kept for inspection and not read again."""
         aside = self.path.with_name(self.path.name + ".refused")
         self.log.error("snapshot refused", file=str(self.path), kept=str(aside), why=why)
         try:
