--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Applies KNOWN-RED.txt: its tests run and their result is printed, but their failure alone fails nothing."""
+"""Applies KNOWN-RED.txt: its tests run and their results are printed, but their failures do not fail the suite."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     try:
         entries = read_known_red(Path(config.rootpath) / "KNOWN-RED.txt")
-    except KnownRedError as problem:
-        raise pytest.UsageError(str(problem)) from None
+    except KnownRedError as error:
+        raise pytest.UsageError(str(error)) from None
     whole_suite = not config.invocation_params.args or not any(
         Path(str(arg).partition("::")[0]).exists() for arg in config.invocation_params.args
     )
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,4 +1,4 @@
-"""Reads KNOWN-RED.txt: tests that fail for a real fault which is named there and not mended yet."""
+"""Reads KNOWN-RED.txt, the list of tests that fail because of a known fault that is not fixed yet."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from pathlib import Path
 
 SEPARATOR = "|"
-MOST_ENTRIES = 3
+MAX_ENTRIES = 3
 
 
 class KnownRedError(ValueError):
-    """The file cannot be used; the text names the line and what was expected."""
+    """The file is invalid; the text names the line and what was expected."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,7 +23,7 @@
 
 
 def read_known_red(path: Path) -> list[KnownRed]:
-    """The entries of the file, none where it is absent. Raises KnownRedError."""
+    """Returns the entries of the file, none if it does not exist. Raises KnownRedError."""
     if not path.exists():
         return []
     entries = []
@@ -34,11 +34,11 @@
         if len(parts) != 3 or not all(parts):
             raise KnownRedError(f"{path.name} line {number}: expected TEST | CAUSE | ISSUE, got {line!r}")
         entries.append(KnownRed(*parts))
-    if len(entries) > MOST_ENTRIES:
-        raise KnownRedError(f"{path.name}: expected at most {MOST_ENTRIES} entries, got {len(entries)}")
+    if len(entries) > MAX_ENTRIES:
+        raise KnownRedError(f"{path.name}: expected at most {MAX_ENTRIES} entries, got {len(entries)}")
     return entries
 
 
 def unknown_tests(entries: list[KnownRed], collected: set[str]) -> list[str]:
-    """Entries that name no collected test."""
+    """Returns the names in entries that match no collected test."""
     return [entry.test for entry in entries if entry.test not in collected]
--- a/tests/program.py
+++ b/tests/program.py
@@ -1,4 +1,4 @@
-"""Helpers for tests of the program: an event loop in a thread, a controller and stand-in invokers on it."""
+"""Helpers for tests of the program: an event loop in a thread that runs a controller and stand-in invokers."""
 
 from __future__ import annotations
 
@@ -35,21 +35,21 @@
 
 
 class Stage:
-    """A loop in a thread; `run` waits for a coroutine on it, `call` for a plain function."""
+    """An event loop in a thread; `run` waits for a coroutine on it, `call` for a plain function."""
 
     def __init__(self):
         self.loop = asyncio.new_event_loop()
         self.thread = threading.Thread(target=self.loop.run_forever, daemon=True)
         self.thread.start()
 
-    def run(self, work, timeout=30.0):
-        return asyncio.run_coroutine_threadsafe(work, self.loop).result(timeout)
+    def run(self, coroutine, timeout=30.0):
+        return asyncio.run_coroutine_threadsafe(coroutine, self.loop).result(timeout)
 
     def call(self, function, *args):
-        async def inside():
+        async def call_on_loop():
             return function(*args)
 
-        return self.run(inside())
+        return self.run(call_on_loop())
 
     def close(self):
         async def cancel():
@@ -62,15 +62,15 @@
         self.loop.call_soon_threadsafe(self.loop.stop)
         self.thread.join(5)
 
-    def invoker(self, **over) -> StandIn:
-        facts = {key: over.pop(key) for key in list(over) if key in WorkerFacts.__slots__}
+    def invoker(self, **options) -> StandIn:
+        facts = {key: options.pop(key) for key in list(options) if key in WorkerFacts.__slots__}
         plan = InvokerPlan(
             "127.0.0.1:0",
             "1",
             WorkerFacts(**{**dict(cores=8, queue=2000), **facts}),
             any_model=ModelInfo(10.0, 8, 5.0, 5.0),
             cold=False,
-            **over,
+            **options,
         )
 
         async def start():
@@ -84,7 +84,7 @@
         roster = folder / "invokers.kdl"
         roster.write_text("".join(f'invoker "{name}"\n' for name in invokers))
         plan = read(ControllerPlan, settings.format(roster=roster, more=more), "test.kdl")
-        # A crowded test machine is no overloaded controller.
+        # Load on the test machine must not count as overload of the controller.
         plan.bounds.lag = max(plan.bounds.lag, 5_000.0)
 
         async def start():
@@ -97,7 +97,7 @@
 
 
 def run_day(path, decider="hiku") -> dict:
-    """A day in a process of its own, its relays with it: figures as `sprucespool day --json` tells them."""
+    """Run a day and its relays in a separate process. Returns the results that `sprucespool day --json` prints."""
     command = [sys.executable, "-m", "sprucespool.cli.main", "day", str(path), "--json", "--decider", decider]
     day = subprocess.run(command, capture_output=True, text=True, timeout=300)
     assert day.returncode in (0, 1), day.stderr[-2000:]
@@ -105,21 +105,21 @@
 
 
 def run_broken_build_day(path, build: str, part: str) -> dict:
-    """Figures of a broken build's day, played up to three times until its judge (`part`: fleet, failover) tells the
-    invariant that the build is named by. Seen once, two such days at once came through on a machine that was taken away
-    meanwhile, and 24 plays after it were told: a sound build is never told, however often it is played."""
-    which = f"({build.rpartition('-')[2]})"
+    """Run the day of a broken build until its judge (`part`: fleet, failover) reports the invariant that the build is
+    named after, at most three times. Once, two such days that ran at the same time were not reported, on a machine that
+    lost its processor meanwhile; the next 24 runs were. A sound build is never reported, however often it is run."""
+    invariant = f"({build.rpartition('-')[2]})"
     for _ in range(3):
         found = run_day(path, build)
-        if any(one.startswith(which) for one in found[part]["invariants_broken"]):
+        if any(one.startswith(invariant) for one in found[part]["invariants_broken"]):
             break
     return found
 
 
-def wait_until(holds, timeout: float) -> None:
-    """Waits for what sockets bring about in their own time; the caller asserts it afterwards."""
+def wait_until(condition, timeout: float) -> None:
+    """Wait until the condition holds or the timeout (s) has passed; the caller asserts the condition afterwards."""
     end = time.monotonic() + timeout
-    while time.monotonic() < end and not holds():
+    while time.monotonic() < end and not condition():
         time.sleep(0.02)
 
 
@@ -133,13 +133,13 @@
 
 
 def send_raw(port: int, data: bytes, wait: float = 0.4) -> bytes:
-    """Send bytes as they are and give what comes back until the peer closes or some time has gone."""
+    """Send the bytes and return what is received until the peer closes or nothing arrives for `wait` seconds."""
     with socket.create_connection(("127.0.0.1", port), timeout=5) as conn:
         with contextlib.suppress(OSError):
             conn.sendall(data)
         conn.settimeout(wait)
-        got = b""
+        received = b""
         with contextlib.suppress(OSError):
-            while piece := conn.recv(65536):
-                got += piece
-        return got
+            while chunk := conn.recv(65536):
+                received += chunk
+        return received
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,4 @@
-"""Two events cross, each time at a point that the test holds: docs/design/crossings.md has a row for each."""
+"""Races of two events, each at a point that the test controls: docs/design/crossings.md has a row for each."""
 
 import asyncio
 import errno
@@ -19,35 +19,35 @@
 
 pytestmark = pytest.mark.sockets
 
-STALL = 0.4
+STALL_SECONDS = 0.4
 
 
-def silent(tag):
+def never_answer(tag):
     return None
 
 
 def settings(**change):
-    """Settings of the platform's tests with ceilings changed."""
-    told = json.loads(json.dumps(SETTINGS))
-    told["ceilings"].update(change)
-    return told
+    """The settings of the platform's tests with changed ceilings."""
+    changed = json.loads(json.dumps(SETTINGS))
+    changed["ceilings"].update(change)
+    return changed
 
 
-LATE_CONNECT = dict(settings=settings(connectTimeout=3000))
+LONG_CONNECT_TIMEOUT = dict(settings=settings(connectTimeout=3000))
 
 
-# A request against the end of its client
+# A request and the end of its client
 
 
 @pytest.mark.parametrize("reset", [False, True])
-def test_a_client_that_left_while_the_process_stood_still_has_no_attempt_begun(reset):
+def test_a_client_that_left_during_a_stall_gets_no_attempt(reset):
     async def scene():
         async with Scene(InvokerStandIn()) as world:
             await world.warmed()
             client = await world.client()
             client.send(request_frame(1))
             client.close(reset)
-            time.sleep(STALL)
+            time.sleep(STALL_SECONDS)
             await asyncio.sleep(0.3)
             assert world.invokers[0].runs() == ["f" * 16] and not world.node.server.calls
 
@@ -55,19 +55,19 @@
 
 
 @pytest.mark.parametrize("reset", [False, True])
-def test_a_client_that_came_and_left_during_a_stall_has_no_attempt_begun_beside_the_requests_of_others(reset):
-    """It takes more rounds to accept the newcomer and to hear of its end than others take to be decided on."""
+def test_a_client_that_connected_and_left_during_a_stall_gets_no_attempt_beside_requests_of_others(reset):
+    """Accepting the new client and noticing its end takes more loop iterations than the decisions for other clients."""
 
     async def scene():
         async with Scene(InvokerStandIn()) as world:
             others = [await world.warmed(), await world.client(), await world.client()]
             for round_ in range(5):
-                newcomer = RawClient(world.port)
-                newcomer.send(request_frame(1, id=f"{round_:x}" + "e" * 15))
-                newcomer.close(reset)
+                new_client = RawClient(world.port)
+                new_client.send(request_frame(1, id=f"{round_:x}" + "e" * 15))
+                new_client.close(reset)
                 for number, other in enumerate(others):
                     other.send(request_frame(round_ + 2, id=f"{round_:x}" + f"{number}" * 15))
-                time.sleep(STALL)
+                time.sleep(STALL_SECONDS)
                 for other in others:
                     assert await other.answers(1) == [(17, round_ + 2, 0)]
                 await asyncio.sleep(0.05)
@@ -77,13 +77,13 @@
     run_scene(scene)
 
 
-def test_a_cancel_read_behind_its_request_after_a_stall_has_no_attempt_begun():
+def test_a_request_cancelled_during_a_stall_gets_no_attempt():
     async def scene():
         async with Scene(InvokerStandIn()) as world:
             client = await world.warmed()
             client.send(request_frame(2))
             client.send(frame(18, 2))
-            time.sleep(STALL)
+            time.sleep(STALL_SECONDS)
             await asyncio.sleep(0.3)
             assert world.invokers[0].runs() == ["f" * 16]
 
@@ -91,9 +91,9 @@
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "cancel", "half-close"])
-def test_a_request_whose_client_leaves_while_the_connection_comes_up_is_never_written(how):
+def test_a_request_whose_client_leaves_during_the_connect_is_never_written(how):
     async def scene():
-        async with Scene(InvokerStandIn(full=True), **LATE_CONNECT) as world:
+        async with Scene(InvokerStandIn(full=True), **LONG_CONNECT_TIMEOUT) as world:
             client = await world.client()
             client.send(request_frame(1))
             await until(lambda: world.node.server.in_flight)
@@ -112,8 +112,8 @@
     run_scene(scene)
 
 
-def test_an_answer_that_makes_room_during_a_stall_does_not_let_out_what_waits_for_a_client_that_left_in_it():
-    """The answer is read first, and the waiting request would be written before the end of its client is known."""
+def test_an_answer_that_frees_a_stream_in_a_stall_does_not_release_the_request_of_a_client_that_left_in_it():
+    """The answer is read first: the waiting request could be written before the end of its client is known."""
 
     async def scene():
         with faulty_sockets(Faults()) as faults:
@@ -129,7 +129,7 @@
                 await until(lambda: world.node.server.invokers["s-0"].waiting)
                 one.writers[0].write(hit("a" * 16))
                 second.close()
-                time.sleep(STALL)
+                time.sleep(STALL_SECONDS)
                 assert await first.answers(1) == [(17, 1, 0)]
                 await asyncio.sleep(0.1)
                 assert one.runs() == ["f" * 16, "a" * 16] and not world.node.server.calls
@@ -137,13 +137,13 @@
     run_scene(scene)
 
 
-def test_a_connection_that_comes_up_in_the_turn_in_which_the_client_leaves_writes_nothing(monkeypatch):
+def test_a_connection_established_in_the_loop_iteration_in_which_the_client_leaves_writes_nothing(monkeypatch):
     async def scene():
-        async with Scene(InvokerStandIn(full=True), **LATE_CONNECT) as world:
+        async with Scene(InvokerStandIn(full=True), **LONG_CONNECT_TIMEOUT) as world:
             client, server = await world.client(), world.node.server
             client.send(request_frame(1))
             await until(lambda: server.in_flight)
-            # The server knows that the client has left; the gateway is told only when the test lets it be.
+            # The server knows that the client has left; the test holds back the message to the gateway.
             held_back = []
             monkeypatch.setattr(server.batch, "add", held_back.append)
             client.close()
@@ -156,7 +156,7 @@
     run_scene(scene)
 
 
-def test_a_client_that_left_is_known_before_what_it_did_not_read_is_written():
+def test_a_client_that_left_is_noticed_while_it_has_unread_answers():
     async def scene():
         def behave(tag):
             return None if tag == "e" * 16 else hit(tag, bytes(250_000))
@@ -181,28 +181,28 @@
     run_scene(scene)
 
 
-# The deadline against the moment of writing
+# The deadline and the time of writing
 
 
-def test_the_deadline_told_is_what_is_left_when_the_line_is_written():
+def test_the_deadline_sent_is_the_time_left_when_the_line_is_written():
     async def scene():
-        async with Scene(InvokerStandIn(full=True), **LATE_CONNECT) as world:
+        async with Scene(InvokerStandIn(full=True), **LONG_CONNECT_TIMEOUT) as world:
             client = await world.client()
             sent = time.monotonic()
             client.send(request_frame(1, wait="1900"))
             await until(lambda: world.node.server.in_flight)
             await world.invokers[0].accept_now()
             await until(lambda: world.invokers[0].runs())
-            [(_, came)], [limit] = [one for one in world.invokers[0].lines], world.invokers[0].limits()
-            assert came - sent > 0.5 and limit <= 1900 - (came - sent) * 1000 + 150
+            [(_, received_at)], [limit] = [one for one in world.invokers[0].lines], world.invokers[0].limits()
+            assert received_at - sent > 0.5 and limit <= 1900 - (received_at - sent) * 1000 + 150
             assert await client.answers(1) == [(17, 1, 0)]
 
     run_scene(scene)
 
 
-def test_a_request_whose_time_is_up_when_the_connection_stands_is_never_written():
+def test_a_request_that_expires_before_the_connection_is_established_is_never_written():
     async def scene():
-        async with Scene(InvokerStandIn(full=True), **LATE_CONNECT) as world:
+        async with Scene(InvokerStandIn(full=True), **LONG_CONNECT_TIMEOUT) as world:
             client = await world.client()
             client.send(request_frame(1, wait="300"))
             [answer] = await client.answers(1)
@@ -215,35 +215,35 @@
     run_scene(scene)
 
 
-def test_time_that_a_request_waited_unread_counts_against_its_deadline():
+def test_the_time_that_a_request_waited_unread_counts_towards_its_deadline():
     async def scene():
         async with Scene(InvokerStandIn()) as world:
             client = await world.warmed()
             client.send(request_frame(2, wait="1500"))
-            time.sleep(STALL)
+            time.sleep(STALL_SECONDS)
             await until(lambda: len(world.invokers[0].runs()) == 2)
-            assert world.invokers[0].limits()[1] <= 1500 - STALL * 1000 + 150
+            assert world.invokers[0].limits()[1] <= 1500 - STALL_SECONDS * 1000 + 150
 
     run_scene(scene)
 
 
-def test_a_request_that_waited_out_its_time_unread_is_answered_and_not_sent():
+def test_a_request_that_expired_unread_is_answered_and_not_sent():
     async def scene():
         async with Scene(InvokerStandIn()) as world:
             client = await world.warmed()
             client.send(request_frame(2, wait="300"))
-            time.sleep(STALL)
+            time.sleep(STALL_SECONDS)
             [answer] = await client.answers(1)
             assert answer[:2] == (17, 2) and answer[2] != 0 and len(world.invokers[0].runs()) == 1
 
     run_scene(scene)
 
 
-# Drains against what is to be sent
+# Drains and requests to be sent
 
 
 @pytest.mark.parametrize("first", ["drain", "request"])
-def test_a_drain_that_came_with_a_request_during_a_stall_counts_first(first):
+def test_a_drain_received_with_a_request_during_a_stall_is_applied_first(first):
     async def scene():
         async with Scene(InvokerStandIn()) as world:
             client = await world.warmed()
@@ -253,7 +253,7 @@
             client.send(request_frame(2))
             if first == "request":
                 world.channel.send(drain)
-            time.sleep(STALL)
+            time.sleep(STALL_SECONDS)
             [answer] = await client.answers(1)
             assert answer == (17, 2, 14) and world.invokers[0].runs() == ["f" * 16]
 
@@ -261,16 +261,16 @@
 
 
 @pytest.mark.parametrize("state", ["draining", "removed"])
-def test_a_drain_told_while_a_connect_is_under_way_withdraws_what_waits_for_it(state):
+def test_a_drain_during_a_connect_withdraws_the_requests_that_wait_for_it(state):
     async def scene():
-        async with Scene(InvokerStandIn(full=True), InvokerStandIn(), **LATE_CONNECT) as world:
+        async with Scene(InvokerStandIn(full=True), InvokerStandIn(), **LONG_CONNECT_TIMEOUT) as world:
             full, other = world.invokers
             client = await world.client()
             for n in range(1, 7):
                 client.send(request_frame(n, id=f"{n:016x}", key=f"{n:016x}"))
-            await until(lambda: any(out.invoker == "s-0" for out in world.node.server.in_flight.values()))
+            await until(lambda: any(forward.invoker == "s-0" for forward in world.node.server.in_flight.values()))
             world.channel.send(event(2, ("s-0", full.port, state)))
-            # They go on elsewhere at once, not when the connection would have come up.
+            # They are sent to the other invoker at once, not when the connection would have been established.
             assert sorted(await client.answers(6, 0.8)) == [(17, n, 0) for n in range(1, 7)]
             await full.accept_now()
             await asyncio.sleep(1.3)
@@ -279,7 +279,7 @@
     run_scene(scene)
 
 
-def test_removed_and_added_at_the_same_address_in_one_event_begins_anew():
+def test_an_invoker_replaced_at_its_address_in_one_event_gets_a_new_connection():
     async def scene():
         async with Scene(InvokerStandIn()) as world:
             client = await world.warmed()
@@ -293,18 +293,18 @@
     run_scene(scene)
 
 
-# Lines that the socket does not take
+# Lines that the socket does not accept
 
 
 @pytest.mark.parametrize("ends", ["cancel", "drain", "time"])
-def test_a_line_that_the_socket_did_not_take_is_never_written_once_nobody_wants_it(ends):
+def test_a_line_that_the_socket_did_not_accept_is_never_written_once_its_request_has_ended(ends):
     async def scene():
         with faulty_sockets(Faults()) as faults:
             one = InvokerStandIn()
             async with Scene(one) as world:
                 faults.invoker_ports = {one.port}
                 client = await world.warmed()
-                # Of the first line a part, of the second nothing: the first is taken back, then the second.
+                # The socket accepts part of the first line, none of the second. The first is withdrawn, then the other.
                 faults.hold_sends = 10
                 client.send(request_frame(2, id="a" * 16) + request_frame(3, id="b" * 16, wait="400"))
                 await until(lambda: len(world.node.server.in_flight) == 2)
@@ -322,7 +322,7 @@
     run_scene(scene)
 
 
-def test_a_half_written_request_whose_client_left_does_not_begin_later():
+def test_a_partly_written_request_whose_client_left_does_not_start_later():
     async def scene():
         with faulty_sockets(Faults()) as faults:
             one = InvokerStandIn()
@@ -337,18 +337,18 @@
                 faults.hold_sends = None
                 await asyncio.sleep(0.3)
                 assert one.runs() == ["f" * 16]
-                # The invoker is good: what comes next finds a connection.
+                # The invoker still works: the next request gets a connection.
                 assert (await world.warmed()) and one.connections == 2
 
     run_scene(scene)
 
 
-# Errors of one against the answers of others
+# Errors of one request and the answers to others
 
 
-def test_what_is_open_on_a_connection_that_is_cut_is_failed_before_its_end():
+def test_open_requests_of_a_connection_that_the_server_ends_are_failed_first():
     async def scene():
-        async with Scene(InvokerStandIn(silent)) as world:
+        async with Scene(InvokerStandIn(never_answer)) as world:
             for bad in (b"\xff\xff\xff\xff", request_frame(3, id=""), request_frame(3, id="a" * 16)):
                 client = await world.client()
                 client.send(request_frame(1, id="a" * 16) + request_frame(2, id="b" * 16))
@@ -362,13 +362,13 @@
     run_scene(scene)
 
 
-def test_an_answer_given_in_the_turn_in_which_the_connection_is_cut_is_written():
+def test_an_answer_in_the_loop_iteration_in_which_the_connection_is_ended_is_written():
     async def scene():
-        async with Scene(InvokerStandIn(silent), limits={"memory_mb": 1, "sockets": 256}) as world:
+        async with Scene(InvokerStandIn(never_answer), limits={"memory_mb": 1, "sockets": 256}) as world:
             client = await world.client()
-            # Ten bodies fill what may be held, the eleventh is shed at once, then an id in use ends the connection.
-            many = b"".join(request_frame(n, bytes(15_000), id=f"{n:016x}") for n in range(1, 12))
-            client.send(many + request_frame(12, id=f"{1:016x}"))
+            # Ten bodies fill the memory limit, the eleventh is shed at once, then a duplicate id ends the connection.
+            requests = b"".join(request_frame(n, bytes(15_000), id=f"{n:016x}") for n in range(1, 12))
+            client.send(requests + request_frame(12, id=f"{1:016x}"))
             answers = await client.answers(13)
             assert {(17, n, 2) for n in (0, *range(1, 11), 12)} <= set(answers) and (17, 11, 14) in answers
             assert len(answers) == 13
@@ -376,7 +376,7 @@
     run_scene(scene)
 
 
-def test_requests_read_together_with_noise_are_failed_not_dropped():
+def test_requests_read_together_with_invalid_data_are_failed_not_dropped():
     async def scene():
         async with Scene(InvokerStandIn()) as world:
             client = await world.client()
@@ -388,7 +388,7 @@
 
 
 @pytest.mark.parametrize("effect, code", [("call", 0), ("once", 2)])
-def test_an_idle_connection_reset_as_a_request_is_written_proves_nothing(effect, code):
+def test_after_a_reset_of_an_idle_connection_during_a_write_the_request_may_have_run(effect, code):
     async def scene():
         async with Scene(InvokerStandIn(), InvokerStandIn(), settings=settings_of_all_effects()) as world:
             client = await world.warmed()
@@ -398,13 +398,13 @@
             client.send(request_frame(2, **{"class": effect}))
             [answer] = await client.answers(1)
             runs = sum(len(one.runs()) for one in world.invokers) - before
-            # It may have run: the repeatable one goes on elsewhere, the other is failed, never shed, never sent again.
+            # It may have run: a retriable one is sent elsewhere; the other is failed, never shed, never sent again.
             assert answer == (17, 2, code) and runs == (2 if effect == "call" else 1)
 
     run_scene(scene)
 
 
-def test_a_second_answer_and_one_to_a_cancelled_request_leave_the_others_theirs():
+def test_a_duplicate_answer_or_one_to_a_cancelled_request_does_not_affect_other_answers():
     async def scene():
         def behave(tag):
             if tag == "a" * 16:
@@ -425,20 +425,20 @@
     run_scene(scene)
 
 
-# The end
+# Shutdown
 
 
-async def stopped(world):
+async def stop_node(world):
     began = time.monotonic()
     left = await world.node.stop()
     return left, time.monotonic() - began
 
 
-def test_what_comes_on_new_and_old_connections_after_the_goaway_is_answered():
+def test_requests_on_new_and_old_connections_after_the_goaway_are_answered():
     async def scene():
         async with Scene(InvokerStandIn()) as world:
             client = await world.warmed()
-            stopping = asyncio.create_task(stopped(world))
+            stopping = asyncio.create_task(stop_node(world))
             assert await client.answers(1, 2.0) == [(48, 0, 0)]
             client.send(request_frame(2))
             late = await world.client()
@@ -449,11 +449,11 @@
     run_scene(scene)
 
 
-def test_a_request_in_the_accept_queue_when_the_end_begins_is_answered():
+def test_a_request_in_the_accept_queue_when_the_shutdown_begins_is_answered():
     async def scene():
         async with Scene(InvokerStandIn()) as world:
             await world.warmed()
-            stopping = asyncio.create_task(stopped(world))
+            stopping = asyncio.create_task(stop_node(world))
             await until(lambda: not world.node.server.ready)
             client = RawClient(world.port)
             client.send(request_frame(1, id="c" * 16))
@@ -464,13 +464,13 @@
     run_scene(scene)
 
 
-def test_a_request_half_received_when_the_end_begins_is_read_on_and_answered():
+def test_a_partly_received_request_when_the_shutdown_begins_is_completed_and_answered():
     async def scene():
         async with Scene(InvokerStandIn()) as world:
             client = await world.warmed()
             data = request_frame(2)
             client.send(data[:20])
-            stopping = asyncio.create_task(stopped(world))
+            stopping = asyncio.create_task(stop_node(world))
             assert await client.answers(1, 2.0) == [(48, 0, 0)]
             await asyncio.sleep(0.3)
             client.send(data[20:])
@@ -480,28 +480,28 @@
 
 
 @pytest.mark.parametrize("deadline, kill", [(1000.0, 1.7), (2000.0, 2.7), (5000.0, 3.7)])
-def test_invokers_that_hang_through_the_end_leave_no_request_without_an_answer(deadline, kill):
-    told = settings()
-    for profile in told["profiles"]:
+def test_every_request_is_answered_when_invokers_hang_during_the_shutdown(deadline, kill):
+    long_settings = settings()
+    for profile in long_settings["profiles"]:
         profile["deadline"] = deadline
 
     async def scene():
-        async with Scene(InvokerStandIn(silent), settings=told) as world:
+        async with Scene(InvokerStandIn(never_answer), settings=long_settings) as world:
             client = await world.client()
-            stopping = asyncio.create_task(stopped(world))
+            stopping = asyncio.create_task(stop_node(world))
             began = time.monotonic()
             await asyncio.sleep(0.55)
             client.send(request_frame(1, wait=str(int(deadline))))
             answers = await client.answers(2, 5.0)
             assert [one[:2] for one in sorted(answers)] == [(17, 1), (48, 0)]
             _, lasted = await stopping
-            # The platform kills no sooner than this.
+            # The platform does not kill the process before this time.
             assert time.monotonic() - began < kill and lasted < kill - 0.1
 
     run_scene(scene)
 
 
-def test_nothing_is_written_for_what_is_failed_at_the_end():
+def test_nothing_is_written_for_requests_failed_at_shutdown():
     async def scene():
         with faulty_sockets(Faults()) as faults:
             one = InvokerStandIn()
@@ -524,16 +524,16 @@
 # The command channel
 
 
-def test_a_silent_watch_is_asked_again_beside_it_and_a_slow_answer_still_counts():
+def test_a_silent_watch_gets_a_second_one_beside_it_and_its_late_events_still_count():
     async def scene():
         async with Scene(InvokerStandIn()) as world:
             channel, last = world.channel, world.node.server.roster
             channel.answers = False
             await until(lambda: len(channel.last_event_ids) >= 2, 4.0)
-            # The second is not answered; what the first tells late is heard.
+            # The second is not answered; a late event of the first is applied.
             channel.send(event(2, ("s-7", 9, "up")), watch=0)
             await until(lambda: last.last == 2)
-            # The second speaks: it takes the first one's place.
+            # The second is answered: it replaces the first.
             channel.begin(channel.writers[1])
             await until(lambda: len(world.node.channel.watches) == 1)
             channel.send(event(3, ("s-8", 9, "up")), watch=1)
@@ -542,7 +542,7 @@
     run_scene(scene)
 
 
-def test_a_gap_is_asked_for_an_older_number_passed_over_and_a_full_list_taken():
+def test_missing_events_are_requested_older_ones_ignored_and_full_lists_applied():
     async def scene():
         async with Scene(InvokerStandIn()) as world:
             channel, roster = world.channel, world.node.server.roster
@@ -557,14 +557,14 @@
     run_scene(scene)
 
 
-def test_an_event_that_stays_bad_is_asked_for_again_and_then_used_as_far_as_it_can_be():
+def test_an_invalid_event_is_requested_again_and_then_its_valid_entries_are_applied():
     async def scene():
         async with Scene(InvokerStandIn()) as world:
             channel, roster = world.channel, world.node.server.roster
-            told = entry(2, ("s-2", 9, "up"), ("s-3", 9, "odd"), ("s-0", world.invokers[0].port, "draining"))
+            event_data = entry(2, ("s-2", 9, "up"), ("s-3", 9, "odd"), ("s-0", world.invokers[0].port, "draining"))
             for reading in range(1, 4):
                 await until(lambda reading=reading: len(channel.writers) == reading)
-                channel.send(b"id: 2\ndata: %b\n\n" % json.dumps(told).encode())
+                channel.send(b"id: 2\ndata: %b\n\n" % json.dumps(event_data).encode())
             await until(lambda: roster.last == 2)
             assert set(channel.last_event_ids) == {"1"} and set(roster.places) == {"s-0", "s-2"}
             assert not world.node.server.invokers.get("s-0") or not world.node.server.invokers["s-0"].accepting
@@ -574,7 +574,7 @@
     run_scene(scene)
 
 
-def test_moves_of_the_channel_in_quick_succession_leave_one_watch_at_the_last_address():
+def test_rapid_moves_of_the_channel_leave_one_watch_at_the_last_address():
     async def scene():
         channels = [await ChannelStandIn().start() for _ in range(4)]
         async with Scene(InvokerStandIn()) as world:
@@ -584,7 +584,7 @@
             await until(lambda: channels[-1].last_event_ids)
             await asyncio.sleep(0.2)
             assert len(world.node.channel.watches) == 1 and channels[-1].last_event_ids == ["1"]
-            # Those before were left, whatever stage their connection had come to.
+            # The earlier ones were closed, whatever the state of their connection.
             for one in [world.channel, *channels[:-1]]:
                 for number in range(len(one.writers)):
                     await until(lambda one=one, number=number: one.ended(number))
@@ -596,36 +596,36 @@
     run_scene(scene)
 
 
-# The gRPC door's connections
+# Connections of the gRPC server
 
 
 def test_a_call_that_waits_for_a_connection_of_a_pool_is_withdrawn_by_a_drain():
     async def scene():
-        heard = []
+        events = []
         one = await InvokerStandIn(full=True).start()
         pool = Pool("127.0.0.1", one.port, Limits(), PoolLimits(connect_timeout=3_000.0), 1)
-        pool.call("/a/B", {}, 2_000.0, b"x", heard.append)
+        pool.call("/a/B", {}, 2_000.0, b"x", events.append)
         await asyncio.sleep(0.05)
         pool.withdraw_waiting("drains")
-        assert [type(event) for event in heard] == [Unconnected]
+        assert [type(event) for event in events] == [Unconnected]
         await one.accept_now()
         await until(lambda: pool.conns)
         await asyncio.sleep(0.05)
         [conn] = pool.conns.values()
-        assert not conn.calls and len(heard) == 1
+        assert not conn.calls and len(events) == 1
         pool.close()
         one.close()
 
     run_scene(scene)
 
 
-def test_news_of_a_drain_reach_the_pools_of_the_door():
+def test_a_drain_in_the_roster_reaches_the_pools_of_the_server():
     withdrawn = []
     server = GatewayServer.__new__(GatewayServer)
     server.pools = {
         name: SimpleNamespace(withdraw_waiting=lambda why, name=name: withdrawn.append(name)) for name in "abc"
     }
-    server.batch = SimpleNamespace(add=lambda given: None)
+    server.batch = SimpleNamespace(add=lambda item: None)
     server.add_input(ms.Roster("update", 1, [ms.Row("a", status="draining"), ms.Row("b"), ms.Row("x", status="gone")]))
     assert withdrawn == ["a"]
     server.add_input(ms.Roster("replace", 2, [ms.Row("b")]))
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -1,4 +1,5 @@
-"""Folders that last: writes and syncs fail or are cut by a kill at each step; what was promised is still owed."""
+"""Durable files: writes and syncs fail, or the process is killed, at each step. Old or new content stays complete, and
+a promise that was sent is kept."""
 
 import errno
 import io
@@ -26,44 +27,45 @@
 
 
 class Killed(BaseException):
-    """The process ends here: no handler of the program runs."""
+    """Simulates a kill of the process: no handler of the program catches it."""
 
 
-class Said:
-    """A log that keeps what was said."""
+class RecordingLog:
+    """A log that keeps its events."""
 
     def __init__(self):
-        self.lines = []
+        self.events = []
 
     def error(self, event, **facts):
-        self.lines.append(event)
+        self.events.append(event)
 
     info = warning = error
 
 
-class Steps:
-    """Fails the n-th of write, fsync, replace and the sync of the folder; a write is torn before it fails."""
+class FailingStep:
+    """Makes the n-th of write, fsync, replace and the fsync of the folder fail. A failing write writes half of its
+    data."""
 
-    def __init__(self, monkeypatch, failing: int, problem: BaseException):
-        self.failing, self.problem, self.count = failing, problem, 0
-        opened_before, fsync, replace = open, os.fsync, os.replace
+    def __init__(self, monkeypatch, failing: int, error: BaseException):
+        self.failing, self.error, self.count = failing, error, 0
+        original_open, fsync, replace = open, os.fsync, os.replace
 
         def step(act):
             self.count += 1
             if self.count == self.failing:
-                raise self.problem
+                raise self.error
             return act()
 
-        class Torn(io.FileIO):
+        class TornFile(io.FileIO):
             def write(sink, data):
                 self.count += 1
                 if self.count == self.failing:
                     super().write(bytes(data)[: len(data) // 2])
-                    raise self.problem
+                    raise self.error
                 return super().write(data)
 
-        def patched_open(path, mode="r", *more, **named):
-            return Torn(path, mode) if mode == "wb" else opened_before(path, mode, *more, **named)
+        def patched_open(path, mode="r", *more, **options):
+            return TornFile(path, mode) if mode == "wb" else original_open(path, mode, *more, **options)
 
         monkeypatch.setattr(snapshots, "open", patched_open, raising=False)
         monkeypatch.setattr(snapshots.os, "fsync", lambda number: step(lambda: fsync(number)))
@@ -72,92 +74,96 @@
 
 @pytest.mark.parametrize("failing", range(1, 5))
 @pytest.mark.parametrize("how", ["ENOSPC", "EIO", "kill"])
-def test_whatever_step_fails_the_file_is_the_old_one_or_the_new_one_whole(tmp_path, monkeypatch, failing, how):
-    file = SnapshotFile(str(tmp_path / "kept"), said := Said(), 10_000)
+def test_after_a_failure_at_any_step_the_file_is_the_old_or_the_new_one_complete(tmp_path, monkeypatch, failing, how):
+    file = SnapshotFile(str(tmp_path / "kept"), log := RecordingLog(), 10_000)
     assert file.write(OLD)
     with monkeypatch.context() as patch:
-        problem = Killed() if how == "kill" else OSError(getattr(errno, how), os.strerror(getattr(errno, how)))
-        steps = Steps(patch, failing, problem)
+        error = Killed() if how == "kill" else OSError(getattr(errno, how), os.strerror(getattr(errno, how)))
+        steps = FailingStep(patch, failing, error)
         if how == "kill":
             with pytest.raises(Killed):
                 file.write(NEW)
         else:
             assert file.write(NEW) is False
-    again = SnapshotFile(str(tmp_path / "kept"), said, 10_000)
-    # Only the rename makes the new one stand.
+    again = SnapshotFile(str(tmp_path / "kept"), log, 10_000)
+    # Only the rename replaces the old content.
     assert again.read() == (NEW if failing == 4 else OLD) and steps.count == failing
     assert again.write(NEW) and again.read() == NEW
     assert sorted(path.name for path in tmp_path.iterdir()) == ["kept"]
 
 
-def test_four_steps_make_a_file_last_and_none_is_left_out(tmp_path, monkeypatch):
-    steps = Steps(monkeypatch, 0, Killed())
-    assert SnapshotFile(str(tmp_path / "kept"), Said(), 100).write(b"x")
+def test_a_durable_write_takes_all_four_steps(tmp_path, monkeypatch):
+    steps = FailingStep(monkeypatch, 0, Killed())
+    assert SnapshotFile(str(tmp_path / "kept"), RecordingLog(), 100).write(b"x")
     # Write, sync of the file, rename, sync of the folder.
     assert steps.count == 4
 
 
-def test_a_full_folder_is_told_once_and_its_end_too(tmp_path):
-    said = Said()
-    file = SnapshotFile(str(tmp_path / "none" / "kept"), said, 100)
+def test_a_failing_folder_is_logged_once_and_so_is_its_recovery(tmp_path):
+    log = RecordingLog()
+    file = SnapshotFile(str(tmp_path / "none" / "kept"), log, 100)
     assert not any(file.write(b"x") for _ in range(5))
     (tmp_path / "none").mkdir()
-    assert file.write(b"x") and said.lines == ["snapshot not written", "snapshot written again"]
+    assert file.write(b"x") and log.events == ["snapshot not written", "snapshot written again"]
 
 
 def carrier(folder: Path):
-    """The part of a carrier that keeps ballots and tells others, with what it told."""
-    made, sent = FailoverCarrier.__new__(FailoverCarrier), []
-    made.file, made.unkept, made.log = SnapshotFile(str(folder / "ballot"), Said(), 10_000), None, Said()
-    made.others = lambda: [SimpleNamespace(name="other", address="127.0.0.1:1")]
-    made.failover = SimpleNamespace(name="me", epoch=0, take_events=list)
-    made._send = lambda to, said: sent.append(said.word)
-    return made, sent
-
-
-def vote(term: int):
+    """A carrier with only the parts that keep ballots and send messages, and the messages that it sent."""
+    failover, sent = FailoverCarrier.__new__(FailoverCarrier), []
+    failover.file, failover.unkept, failover.log = (
+        SnapshotFile(str(folder / "ballot"), RecordingLog(), 10_000),
+        None,
+        RecordingLog(),
+    )
+    failover.others = lambda: [SimpleNamespace(name="other", address="127.0.0.1:1")]
+    failover.failover = SimpleNamespace(name="me", epoch=0, take_events=list)
+    failover._send = lambda to, message: sent.append(message.word)
+    return failover, sent
+
+
+def vote_effects(term: int):
     return [Keep(Ballot(term, "other", Seats((0, 0), ("me", "other")))), Tell("other", Word("voted", "me", term))]
 
 
 @pytest.mark.parametrize("how", ["missing folder", "ENOSPC"])
-def test_a_vote_is_not_given_before_it_lasts_and_is_kept_once_it_can_be(tmp_path, monkeypatch, how):
-    made, sent = carrier(tmp_path / "late")
+def test_a_vote_is_not_sent_before_its_ballot_is_durable_and_the_ballot_is_kept_later(tmp_path, monkeypatch, how):
+    failover, sent = carrier(tmp_path / "late")
     with monkeypatch.context() as patch:
         if how == "ENOSPC":
             (tmp_path / "late").mkdir()
-            Steps(patch, 1, OSError(errno.ENOSPC, "full"))
-        made._do(vote(3))
-        assert sent == [] and made.unkept is not None
-        made._do([Tell("other", Word("beat", "me", 3))])
+            FailingStep(patch, 1, OSError(errno.ENOSPC, "full"))
+        failover._do(vote_effects(3))
+        assert sent == [] and failover.unkept is not None
+        failover._do([Tell("other", Word("beat", "me", 3))])
         assert sent == []
     (tmp_path / "late").mkdir(exist_ok=True)
-    made._keep(made.file, made.unkept)
-    assert made.unkept is None and ballot(made.file.read()).term == 3
-    made._do(vote(4))
-    assert [word.term for word in sent] == [4] and ballot(made.file.read()).term == 4
+    failover._keep(failover.file, failover.unkept)
+    assert failover.unkept is None and ballot(failover.file.read()).term == 3
+    failover._do(vote_effects(4))
+    assert [word.term for word in sent] == [4] and ballot(failover.file.read()).term == 4
 
 
-def test_a_torn_or_damaged_ballot_is_recognised_at_every_byte():
+def test_a_truncated_or_damaged_ballot_is_detected_at_every_byte():
     data = kept(Ballot(7, "other", Seats((0, 0), ("me", "other"))))
     assert ballot(data).term == 7
     for end in range(len(data) - 1):
         with pytest.raises(SaidError):
             ballot(data[:end])
-    for place in range(len(data) - 1):
+    for position in range(len(data) - 1):
         with pytest.raises(SaidError):
-            ballot(data[:place] + bytes((data[place] ^ 1,)) + data[place + 1 :])
+            ballot(data[:position] + bytes((data[position] ^ 1,)) + data[position + 1 :])
 
 
 class FullDisk(io.BytesIO):
-    def __init__(self, room: int):
+    def __init__(self, free_bytes: int):
         super().__init__()
-        self.room = room
+        self.free_bytes = free_bytes
 
     def write(self, data):
-        taken = bytes(data)[: max(0, self.room)]
-        self.room -= len(data)
-        super().write(taken)
-        if len(taken) < len(data):
+        written = bytes(data)[: max(0, self.free_bytes)]
+        self.free_bytes -= len(data)
+        super().write(written)
+        if len(written) < len(data):
             raise OSError(errno.ENOSPC, "full")
         return len(data)
 
@@ -165,7 +171,7 @@
         pass
 
 
-def test_a_record_of_inputs_that_cant_be_written_on_ends_and_serving_goes_on():
+def test_a_record_of_inputs_that_cannot_be_continued_ends_and_serving_goes_on():
     effects, sink = [], FullDisk(1_500)
     gateway = Gateway(deployment(), 1, effects.append)
     recorder = Recorder(gateway, sink)
@@ -180,14 +186,14 @@
     assert len(list(batches(sink))) < 200
 
 
-class Unwritable:
+class UnwritableFile:
     def write(self, text):
         raise OSError(errno.ENOSPC, "full")
 
     flush = lambda self: self.write("")  # noqa: E731
 
 
-def test_logs_that_cant_be_written_take_nothing_else_with_them(monkeypatch):
-    monkeypatch.setattr("sys.stderr", Unwritable())
+def test_a_log_that_cannot_be_written_raises_nothing(monkeypatch):
+    monkeypatch.setattr("sys.stderr", UnwritableFile())
     Log("debug").error("x", why="y")
     open_log("info", None).error("x")
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt passes over the failures that it names, and over nothing else."""
+"""KNOWN-RED.txt excuses the failures that it names and no others."""
 
 import shutil
 import subprocess
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize(
-    "known_red, status, said",
+    "known_red, status, expected",
     [
         (None, 1, "1 failed, 1 passed"),
         ("", 1, "1 failed, 1 passed"),
@@ -38,6 +38,6 @@
         (4 * entry(), 4, "expected at most 3 entries, got 4"),
     ],
 )
-def test_only_named_failures_are_passed_over_and_a_bad_file_fails(tmp_path, known_red, status, said):
-    got = run_suite(tmp_path, known_red)
-    assert got.returncode == status and said in got.stdout + got.stderr
+def test_only_named_failures_are_excused_and_an_invalid_file_fails(tmp_path, known_red, status, expected):
+    result = run_suite(tmp_path, known_red)
+    assert result.returncode == status and expected in result.stdout + result.stderr
