--- a/sprucespool/daemon/failover.py
+++ b/sprucespool/daemon/failover.py
@@ -1,4 +1,5 @@
-"""Plans of zones on sockets: what the group's messages carry of them, where each inference may go, the view of it."""
+"""Connects the plans of zones to sockets: the group's messages carry them, each inference gets the zones that it may go
+to, and the plan in force is served as a view."""
 
 from __future__ import annotations
 
@@ -48,20 +49,21 @@
 # What a member reports beyond `group.LOAD_METRICS`: cores that its inferences need, free and bound to the region; cores
 # that its own zone provided for it; the shares of forwards to its own zone that returned, and that did so in SLO time.
 FAILOVER_METRICS = ("free_cores", "bound_cores", "home_cores", "home_well", "home_soon")
-LOOK_EVERY = 0.25
-# Whether a command is in a plan that most voters have is looked at so often (seconds), for so long (ms).
-CONFIRM_EVERY, CONFIRM_WITHIN = 0.05, 8_000.0
-# All members and invokers are gone through so often, ms: among hundreds that is what costs. Half as often where others
-# plan.
-STATES_EVERY = 500.0
-# Rows of ways are told and weighed so often, ms.
-WAYS_EVERY = 5_000.0
-MOST_BALLOT = 1024
-LOUD = {"alone", "refused"}
+CHECK_INTERVAL_SECONDS = 0.25
+# How often, and for how long, to check whether a command is in a plan that most voters have.
+CONFIRM_CHECK_INTERVAL_SECONDS, CONFIRM_TIMEOUT_MS = 0.05, 8_000.0
+# How often the states of the zones are computed from all members and invokers, which is the expensive step when there
+# are hundreds of them. A controller that does not plan does so half as often.
+STATES_INTERVAL_MS = 500.0
+# How often measured costs between zones are reported and evaluated.
+ZONE_COSTS_INTERVAL_MS = 5_000.0
+MAX_BALLOT_BYTES = 1024
+WARNING_KINDS = {"alone", "refused"}
 
 
 class ZoneShown(msgspec.Struct):
-    """Figures in cores. `free`, `bound`: where the traffic that enters here goes, by zone of invokers."""
+    """One zone in the view; quantities in cores. `free`, `bound`: where the traffic that enters here goes, by zone of
+    invokers."""
 
     zone: str
     region: str
@@ -74,13 +76,14 @@
     drained: bool
     free: dict[str, float]
     bound: dict[str, float]
-    # Cores by cell of its invokers, where the roster tells cells.
+    # Cores by cell of its invokers, if the roster contains cells.
     cells: dict[str, float] = {}
 
 
 class ZonesShown(msgspec.Struct):
-    """`epoch` is (0, 0) where no plan is in force: then `why` says what is gone by. `digest` is equal where two follow
-    the same. `follows`: the epoch that each member told last; `wanted`: zones that operators want empty."""
+    """The plan that a controller follows. `epoch` is (0, 0) if no plan is in force; `why` then says what is used
+    instead. `digest` is equal for two controllers that follow the same plan. `follows`: the epoch that each member
+    reported last; `wanted`: zones that operators want to be drained."""
 
     group: str
     me: str
@@ -100,67 +103,68 @@
 
 
 class FailoverCarrier:
-    """One controller's part, wired: the fleet's view and own traffic in, zones open to each inference out."""
+    """Runs one controller's part in the failover: takes in the view of the fleet and its own traffic, and decides which
+    zones each inference may go to."""
 
     def __init__(
         self,
         plan: ControllerPlan,
-        told: FailoverPlan,
+        settings: FailoverPlan,
         group: GroupCarrier,
         fleet: FleetCarrier,
         log: Any,
-        kind: type[Failover] = Failover,
-        steer: type[Steer] = Steer,
+        failover_class: type[Failover] = Failover,
+        steer_class: type[Steer] = Steer,
     ):
-        self.plan, self.told, self.group, self.fleet, self.log = plan, told, group, fleet, log
+        self.plan, self.settings, self.group, self.fleet, self.log = plan, settings, group, fleet, log
         self.loop = asyncio.get_running_loop()
         assert plan.group is not None
         self.codec = Codec(plan.group.name, plan.group.mark)
-        self.topology, self.zone = Topology.of(told.zones, told.distances), plan.controller.zone
-        # The last ballot, where it could not be written yet.
-        self.unkept: Ballot | None = None
-        # Who cannot read its ballot gives no vote for a while: it may have given one.
-        self.file = SnapshotFile(told.keep, log, MOST_BALLOT) if told.keep else None
-        self.failover = kind(
+        self.topology, self.zone = Topology.of(settings.zones, settings.distances), plan.controller.zone
+        # The last ballot, if it could not be written yet.
+        self.unstored_ballot: Ballot | None = None
+        # A voter that cannot read its ballot gives no vote for a while, because it may already have voted.
+        self.file = SnapshotFile(settings.keep, log, MAX_BALLOT_BYTES) if settings.keep else None
+        self.failover = failover_class(
             plan.group.member or f"controller-{plan.controller.number}",
             self.topology,
-            tuple(voter.member for voter in told.voters),
-            self._read(),
+            tuple(voter.member for voter in settings.voters),
+            self._read_ballot(),
             plan.seed * 29 + plan.controller.number,
-            planner_limits=PlannerLimits(own_most=told.own_most, far_most=told.far_most),
-            replace_after=told.replace_after,
+            planner_limits=PlannerLimits(own_most=settings.own_most, far_most=settings.far_most),
+            replace_after=settings.replace_after,
         )
-        self.steer, self.meter = steer(self.zone, self.topology), kind.meter_kind(self.zone)
+        self.steer, self.meter = steer_class(self.zone, self.topology), failover_class.meter_kind(self.zone)
         self.spread = Spread(plan.seed * 37 + plan.controller.number)
-        self.gauge = Gauge(self.topology, GaugeLimits(plan.fleet.cold_share, plan.fleet.warm_after, told.cores))
-        self.reports, self.ways = Reports(), Ways(self.zone, self.topology)
-        self.ways_at = self.states_at = 0.0
+        self.gauge = Gauge(self.topology, GaugeLimits(plan.fleet.cold_share, plan.fleet.warm_after, settings.cores))
+        self.reports, self.zone_costs = Reports(), Ways(self.zone, self.topology)
+        self.zone_costs_due_at = self.states_due_at = 0.0
         self.groups = {group.name: group for group in plan.model_groups}
-        self.bound = {tenant.name for tenant in plan.tenants if tenant.stay}
-        # Forwards out: where and since when, of which model group.
-        self.out: dict[int, tuple[str, float, str]] = {}
-        self.follows: dict[str, tuple[int, int]] = {}
+        self.bound_tenants = {tenant.name for tenant in plan.tenants if tenant.stay}
+        # Forwards in flight: zone, start time and model group.
+        self.in_flight: dict[int, tuple[str, float, str]] = {}
+        self.followed_epochs: dict[str, tuple[int, int]] = {}
         self.timer: asyncio.TimerHandle | None = None
         self.stopped = False
-        weigh, self.group.metric_names = group.measure_load, (*LOAD_METRICS, *FAILOVER_METRICS)
-        group.measure_load = lambda: (*weigh(), *self.meter.figures(self.now()))
-        group.failover_payload, group.on_plan = self._ride, self._heard
+        measure_load, self.group.metric_names = group.measure_load, (*LOAD_METRICS, *FAILOVER_METRICS)
+        group.measure_load = lambda: (*measure_load(), *self.meter.figures(self.now()))
+        group.failover_payload, group.on_plan = self._payload, self._receive
 
     def now(self) -> float:
         return self.loop.time() * 1000.0
 
     def start(self) -> None:
-        """When the group and the view have begun."""
+        """Start the failover. Called after the start of the group and the view."""
         self._tick()
 
-    def _read(self) -> Ballot | None:
+    def _read_ballot(self) -> Ballot | None:
         data = self.file.read() if self.file is not None else None
         if self.file is None or data is None:
             return None
         try:
             return ballot(data)
-        except SaidError as problem:
-            self.file.refuse(str(problem))
+        except SaidError as error:
+            self.file.refuse(str(error))
             return None
 
     # Time
@@ -168,69 +172,70 @@
     def _tick(self):
         if self.stopped:
             return
-        # Whatever goes wrong below, the next look comes: one that never looks again would go by an old plan unseen.
-        self.timer = self.loop.call_later(LOOK_EVERY, self._tick)
+        # Scheduled first: after an exception below, a controller without a timer would follow an old plan unnoticed.
+        self.timer = self.loop.call_later(CHECK_INTERVAL_SECONDS, self._tick)
         now = self.now()
-        if now >= self.states_at:
+        if now >= self.states_due_at:
             council = self.failover.council
             plans = council.votes or council.in_force(now) is None
-            self.states_at = now + (STATES_EVERY if plans else 2 * STATES_EVERY)
+            self.states_due_at = now + (STATES_INTERVAL_MS if plans else 2 * STATES_INTERVAL_MS)
             states = self.states()
             self.steer.serves = frozenset(zone for zone, state in states.items() if state.now > 0) or None
             if not states[self.zone].warm:
                 self.meter.emptied()
             self.failover.know(now, states)
-            self.failover.know_members(self._speakers())
-        if self.unkept is not None and self.file is not None:
-            self._keep(self.file, self.unkept)
-        self._do(self.failover.tick(now))
+            self.failover.know_members(self._plan_members())
+        if self.unstored_ballot is not None and self.file is not None:
+            self._store_ballot(self.file, self.unstored_ballot)
+        self._carry_out(self.failover.tick(now))
         if self.failover.council.leads(now):
-            self._pass(
+            self._send_renewals(
                 self.spread.lead(now, self.failover.council.renewal(now), [row.address for row in self.others()])
             )
-        ways, news = self._measured(now), self.meter.news(now)
-        if news is not None or ways:
+        costs, metrics = self._measured_costs(now), self.meter.news(now)
+        if metrics is not None or costs:
             for row in self.others():
                 if row.name in self.failover.council.voters:
                     self._send(
-                        row.address, Said(self.failover.name, self.failover.epoch, figures=news or (), ways=ways)
+                        row.address, Said(self.failover.name, self.failover.epoch, figures=metrics or (), ways=costs)
                     )
-        soon = (self.failover.due() - now) / 1000.0
-        if soon < LOOK_EVERY:
+        delay_seconds = (self.failover.due() - now) / 1000.0
+        if delay_seconds < CHECK_INTERVAL_SECONDS:
             self.timer.cancel()
-            self.timer = self.loop.call_later(max(0.01, soon), self._tick)
+            self.timer = self.loop.call_later(max(0.01, delay_seconds), self._tick)
 
-    def _measured(self, now: float) -> dict[str, float]:
-        """Ways to be told now, if it is time; a voter brings its costs up to date by what it was told."""
+    def _measured_costs(self, now: float) -> dict[str, float]:
+        """Returns the measured costs to report, if a report is due. A voter then also updates its costs from the
+        reports of others."""
         member = self.group.group
         while member is not None and member.round_trips:
-            self.ways.answered(*member.round_trips.popleft())
-        if now < self.ways_at:
+            self.zone_costs.answered(*member.round_trips.popleft())
+        if now < self.zone_costs_due_at:
             return {}
-        self.ways_at = now + WAYS_EVERY
+        self.zone_costs_due_at = now + ZONE_COSTS_INTERVAL_MS
         self.reports.keep(row.name for row in self.others())
-        if self.failover.council.votes and self.ways.weigh(row.name for row in self.others()):
+        if self.failover.council.votes and self.zone_costs.weigh(row.name for row in self.others()):
             self.log.info(
                 "failover",
                 kind="ways",
                 costs={f"{one} {other}": cost for (one, other), cost in sorted(self.topology.costs.items())},
             )
-        return self.ways.row()
+        return self.zone_costs.row()
 
     def others(self) -> list[Any]:
         member = self.group.group
         return [row for row in member.live() if row.seat != member.me.seat] if member is not None else []
 
-    def _speakers(self) -> dict[str, str]:
-        """The zone of each member that serves and was heard to speak of plans: who has no such node would be a voter
-        that never answers."""
-        rows = [row for row in self.others() if row.name in self.follows and row.about.phase is Phase.SERVING]
+    def _plan_members(self) -> dict[str, str]:
+        """The zone of each serving member that has sent messages about plans. A member without the failover would be a
+        voter that never answers."""
+        rows = [row for row in self.others() if row.name in self.followed_epochs and row.about.phase is Phase.SERVING]
         return {**{row.name: row.about.zone for row in rows}, self.failover.name: self.zone}
 
     def states(self) -> dict[str, ZoneState]:
-        """What is known of the zones now."""
+        """Returns the present state of each zone."""
         now, fleet, member = self.now(), self.fleet.fleet, self.group.group
-        standing = (
+        serving = (
             []
             if fleet is None
             else [
@@ -245,82 +250,86 @@
                 if place.status == it.Status.IN_SERVICE.value
             ]
         )
-        loaded = [Loaded(self.zone, *self.meter.figures(now), at=now)]
-        size = len(self.group.metric_names)
+        loads = [Loaded(self.zone, *self.meter.figures(now), at=now)]
+        metric_count = len(self.group.metric_names)
         for row in self.others() if member is not None else ():
-            told, at = self.reports.of(
-                now, row.name, row.figures[len(LOAD_METRICS) :] if len(row.figures) == size else ()
+            metrics, at = self.reports.of(
+                now, row.name, row.figures[len(LOAD_METRICS) :] if len(row.figures) == metric_count else ()
             )
-            if len(told) == len(FAILOVER_METRICS):
-                free, bound, did, well, soon = told
-                loaded.append(Loaded(row.about.zone, free, bound, did, well, soon, row.name, at))
-        return self.gauge.states(now, standing, loaded, self.failover.council.in_force(now))
+            if len(metrics) == len(FAILOVER_METRICS):
+                free, bound, home_cores, returned_share, in_time_share = metrics
+                loads.append(
+                    Loaded(row.about.zone, free, bound, home_cores, returned_share, in_time_share, row.name, at)
+                )
+        return self.gauge.states(now, serving, loads, self.failover.council.in_force(now))
 
-    def _do(self, effects: Iterable[Any]):
-        where = {row.name: row.address for row in self.others()}
+    def _carry_out(self, effects: Iterable[Any]):
+        addresses = {row.name: row.address for row in self.others()}
         for effect in effects:
             if isinstance(effect, Keep):
                 if self.file is not None:
-                    self._keep(self.file, effect.ballot)
-            elif isinstance(effect, Tell) and effect.to in where and self.unkept is None:
-                self._send(where[effect.to], Said(self.failover.name, self.failover.epoch, effect.word))
+                    self._store_ballot(self.file, effect.ballot)
+            elif isinstance(effect, Tell) and effect.to in addresses and self.unstored_ballot is None:
+                self._send(addresses[effect.to], Said(self.failover.name, self.failover.epoch, effect.word))
         for event in self.failover.take_events():
-            log = self.log.warning if event.kind in LOUD else self.log.info
+            log = self.log.warning if event.kind in WARNING_KINDS else self.log.info
             log("failover", kind=event.kind, epoch=event.epoch, **({"why": event.why} if event.why else {}))
 
-    def _keep(self, file: SnapshotFile, promised: Ballot):
-        """What is told rests on the ballot: while it does not last nothing is told, as if the messages were lost."""
-        self.unkept = None if file.write(kept(promised)) else promised
+    def _store_ballot(self, file: SnapshotFile, to_store: Ballot):
+        """Messages to voters depend on the ballot: none is sent while it is not durably stored, as if all were lost."""
+        self.unstored_ballot = None if file.write(kept(to_store)) else to_store
 
-    def _send(self, to: str, said: Said):
-        self.group.send_plan(to, self.codec.encode(said))
+    def _send(self, to: str, message: Said):
+        self.group.send_plan(to, self.codec.encode(message))
 
-    def _pass(self, passes: Iterable[Pass]):
-        for one in passes:
-            self._send(one.to, Said(self.failover.name, self.failover.epoch, None, one.renewal, one.pass_on))
+    def _send_renewals(self, deliveries: Iterable[Pass]):
+        for delivery in deliveries:
+            self._send(
+                delivery.to, Said(self.failover.name, self.failover.epoch, None, delivery.renewal, delivery.pass_on)
+            )
 
     # The group's messages
 
-    def _ride(self) -> bytes:
+    def _payload(self) -> bytes:
         renewal = self.failover.council.renewal(self.now())
         return self.codec.encode(Said(self.failover.name, self.failover.epoch, None, renewal))
 
-    def _heard(self, data: bytes):
-        """Raises SaidError with what was expected."""
-        said, now = self.codec.decode(data), self.now()
-        if len(self.follows) < 4096 or said.sender in self.follows:
-            self.follows[said.sender] = said.epoch
-        if said.renewal is not None:
-            self.failover.rode(now, said.renewal)
-            for to in said.pass_on:
+    def _receive(self, data: bytes):
+        """Raises SaidError; its text says what was expected."""
+        message, now = self.codec.decode(data), self.now()
+        if len(self.followed_epochs) < 4096 or message.sender in self.followed_epochs:
+            self.followed_epochs[message.sender] = message.epoch
+        if message.renewal is not None:
+            self.failover.rode(now, message.renewal)
+            for to in message.pass_on:
                 loopback(to)
-            self._pass(Spread.on(said.renewal, said.pass_on))
-        told = said.figures or said.ways
-        row = next((one for one in self.others() if one.name == said.sender), None) if told else None
-        if row is not None and said.figures:
-            self.reports.heard(now, said.sender, said.figures)
-        if row is not None and said.ways:
-            self.ways.heard(said.sender, row.about.zone, said.ways)
-        self._do(self.failover.heard(now, said.word) if said.word is not None else ())
+            self._send_renewals(Spread.on(message.renewal, message.pass_on))
+        has_report = message.figures or message.ways
+        row = next((member for member in self.others() if member.name == message.sender), None) if has_report else None
+        if row is not None and message.figures:
+            self.reports.heard(now, message.sender, message.figures)
+        if row is not None and message.ways:
+            self.zone_costs.heard(message.sender, row.about.zone, message.ways)
+        self._carry_out(self.failover.heard(now, message.word) if message.word is not None else ())
 
     # Inferences
 
-    def zones(self, given: ms.Call) -> tuple[str, ...]:
-        """Where this inference may go, the first of them first; none: it is to be shed."""
-        now, group = self.now(), self.groups[given.group]
-        bound = bool(group.stay) or given.tenant in self.bound
-        if not given.repeat:
-            # Against shedding that feeds itself: what was shed comes again, and is no more work than it was.
-            self.meter.arrived(now, given.group, bound, given.work or group.slo_time / 4)
+    def zones(self, call: ms.Call) -> tuple[str, ...]:
+        """Returns the zones that this inference may go to, in order of preference; none: it must be shed."""
+        now, group = self.now(), self.groups[call.group]
+        bound = bool(group.stay) or call.tenant in self.bound_tenants
+        if not call.repeat:
+            # Retries do not count: shed requests that come again would raise the load estimate and cause more shedding.
+            self.meter.arrived(now, call.group, bound, call.work or group.slo_time / 4)
         return self.steer.zones(now, self.failover.follow(now), bound, group.value)
 
     def forward_sent(self, number: int, invoker: str, group: str) -> None:
         place = self.fleet.fleet.told.get(invoker) if self.fleet.fleet is not None else None
         if place is not None:
-            self.out[number] = place.zone, self.now(), group
+            self.in_flight[number] = place.zone, self.now(), group
 
     def forward_ended(self, number: int, outcome: it.Outcome, found: it.Found) -> None:
-        zone, since, name = self.out.pop(number, ("", 0.0, ""))
+        zone, sent_at, group = self.in_flight.pop(number, ("", 0.0, ""))
         if not zone or outcome in (it.Outcome.CALLED_OFF, it.Outcome.NOT_SENT):
             return
         now = self.now()
@@ -329,15 +338,15 @@
         )
         self.meter.ended(
             now,
-            name,
+            group,
             zone,
-            now - since,
+            now - sent_at,
             outcome.value,
             found in (it.Found.WARM, it.Found.UNTOLD),
-            self.groups[name].slo_time,
+            self.groups[group].slo_time,
         )
 
-    # Showing
+    # Serving the view and commands of operators
 
     def methods(self) -> dict[str, Method]:
         return {names.MEMBERSHIP_ZONES: unary(self._view), names.MEMBERSHIP_DRAIN_ZONE: unary(self._drain)}
@@ -371,7 +380,7 @@
         in_force = council.in_force(now)
         age = now - council.renewed_at if in_force is not None else -1.0
         leader = council.name if council.leads(now) else council.leader
-        follows = {**self.follows, council.name: in_force.epoch if in_force is not None else (0, 0)}
+        follows = {**self.followed_epochs, council.name: in_force.epoch if in_force is not None else (0, 0)}
         live = {row.name for row in self.others()} | {council.name}
         epoch = follows[council.name]
         member = self.group.group
@@ -394,44 +403,45 @@
         )
 
     def _drain(self, call: ServerCall, data: bytes):
-        asked = parse_request(call, platform.DrainZoneRequest, data)
-        if asked is None:
+        request = parse_request(call, platform.DrainZoneRequest, data)
+        if request is None:
             return
         now, failover = self.now(), self.failover
         if not failover.council.leads(now):
             return self._name_leader(call)
-        why = failover.drain(asked.zone, asked.drain, asked.force)
-        self.log.info("drain zone", zone=asked.zone, drain=asked.drain, force=asked.force, refused=why)
+        why = failover.drain(request.zone, request.drain, request.force)
+        self.log.info("drain zone", zone=request.zone, drain=request.drain, force=request.force, refused=why)
         if why:
             _reply(call, platform.DrainZoneReply(why=why))
         else:
-            self._confirm_drain(call, asked, now + CONFIRM_WITHIN)
+            self._confirm_drain(call, request, now + CONFIRM_TIMEOUT_MS)
 
     def _name_leader(self, call: ServerCall):
         council = self.failover.council
         leader = council.leader
-        where = next((row.address for row in self.others() if row.name == leader), "")
-        if not where and council.votes is False:
-            # Only voters hear who leads: any of them can say.
-            where = next((row.address for row in self.others() if row.name in council.voters), "")
-        _reply(call, platform.DrainZoneReply(why=f"{leader or 'nobody known here'} leads", leader=where))
-
-    def _confirm_drain(self, call: ServerCall, asked: platform.DrainZoneRequest, until: float):
-        """Say that it is done when most voters have a plan with it: a leader may end, or lose its lead, at any time."""
+        leader_address = next((row.address for row in self.others() if row.name == leader), "")
+        if not leader_address and council.votes is False:
+            # Only voters know the leader: any of them can name it.
+            leader_address = next((row.address for row in self.others() if row.name in council.voters), "")
+        _reply(call, platform.DrainZoneReply(why=f"{leader or 'nobody known here'} leads", leader=leader_address))
+
+    def _confirm_drain(self, call: ServerCall, request: platform.DrainZoneRequest, until: float):
+        """Answer that the command is done once most voters have a plan with it: before that, it is lost if the leader
+        ends or loses its leadership."""
         if call.over or self.stopped:
             return
         now, council = self.now(), self.failover.council
         decided = council.in_force(now)
-        agreed = decided is not None and (asked.zone in decided.drained) is asked.drain
-        if agreed and council.plan is not None and (asked.zone in council.plan.drained) is asked.drain:
+        agreed = decided is not None and (request.zone in decided.drained) is request.drain
+        if agreed and council.plan is not None and (request.zone in council.plan.drained) is request.drain:
             _reply(call, platform.DrainZoneReply(done=True))
         elif not council.leads(now):
             self._name_leader(call)
         elif now >= until:
-            why = f"most voters have not agreed within {CONFIRM_WITHIN / 1000.0:.0f} s; ask again"
+            why = f"most voters have not agreed within {CONFIRM_TIMEOUT_MS / 1000.0:.0f} s; ask again"
             _reply(call, platform.DrainZoneReply(why=why))
         else:
-            self.loop.call_later(CONFIRM_EVERY, self._confirm_drain, call, asked, until)
+            self.loop.call_later(CONFIRM_CHECK_INTERVAL_SECONDS, self._confirm_drain, call, request, until)
 
     def stop(self) -> None:
         self.stopped = True
--- a/sprucespool/daemon/fleet.py
+++ b/sprucespool/daemon/fleet.py
@@ -1,4 +1,5 @@
-"""The fleet's view in common on sockets: what the group's messages carry of it, and what the module is told by it."""
+"""Connects the shared view of the fleet to sockets: the group's messages carry it, and the module gets rosters and
+suspicions from it."""
 
 from __future__ import annotations
 
@@ -28,13 +29,13 @@
 
 LISTED = {it.Status.IN_SERVICE.value: Listed.IN_SERVICE, it.Status.DRAINING.value: Listed.DRAINING}
 GONE = it.Status.GONE.value
-LOUD = {"distrusted", "behind", "back", "contradiction", "panic", "unreachable"}
-# Of beliefs asked for to show the view; those of pages are numbered from 1.
+WARNING_KINDS = {"distrusted", "behind", "back", "contradiction", "panic", "unreachable"}
+# Token of requests for beliefs to serve the view; the tokens of requests for pages count from 1.
 VIEW_TOKEN = -1
 
 
 class Said(msgspec.Struct):
-    """Who says what of a process. `says`: draining, gone, in service, not listed, or an opinion."""
+    """What one controller reports of a process. `says`: draining, gone, in service, not listed, or an opinion."""
 
     by: str
     says: str
@@ -45,7 +46,7 @@
 
 
 class Shown(msgspec.Struct):
-    """One process of an invoker as a controller sees it. `copies` believed to stand there by its module."""
+    """One process of an invoker as a controller sees it. `copies`: loaded copies there, as its module believes."""
 
     address: str
     boot: str
@@ -60,7 +61,8 @@
 
 
 class FleetShown(msgspec.Struct):
-    """`digest` is equal where two controllers hold the same of the same processes."""
+    """A controller's view of the fleet. `digest` is equal for two controllers with the same information about the same
+    processes."""
 
     group: str
     me: str
@@ -74,27 +76,27 @@
 
 
 class FleetCarrier:
-    """One controller's view, wired: roster and eyes in, the module's rosters and doubts out."""
+    """Runs one controller's view: takes in the roster and own observations, gives the module rosters and suspicions."""
 
     def __init__(
         self,
         plan: ControllerPlan,
-        told: FleetView,
+        settings: FleetView,
         group_plan: GroupPlan,
         group: GroupCarrier,
-        tell: Callable[[ms.Input], None],
+        add_input: Callable[[ms.Input], None],
         log: Any,
-        kind: type[Fleet] = Fleet,
-        wall: Callable[[], float] | None = None,
+        fleet_class: type[Fleet] = Fleet,
+        wall_clock: Callable[[], float] | None = None,
     ):
-        self.plan, self.told, self.group, self.tell, self.log, self.kind, self.wall = (
+        self.plan, self.settings, self.group, self.add_input, self.log, self.fleet_class, self.wall_clock = (
             plan,
-            told,
+            settings,
             group,
-            tell,
+            add_input,
             log,
-            kind,
-            wall or AnchoredClock().unix,
+            fleet_class,
+            wall_clock or AnchoredClock().unix,
         )
         self.loop = asyncio.get_running_loop()
         self.codec = Codec(group_plan.name, group_plan.mark)
@@ -102,39 +104,40 @@
         self.fleet: Fleet | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.stopped = False
-        # What came before the group began: the roster's first list may.
-        self.early: list[tuple[ms.Roster, str]] = []
-        self.asking: list[ServerCall] = []
-        self.file = SnapshotFile(told.snapshot, log, MOST_SNAPSHOT) if told.snapshot else None
-        self.written = self.loop.time()
-        # Asks an invoker whether it is ready; `probed` hears of it.
-        self.probe: Callable[[str], None] = lambda where: None
-        group.fleet_payload, group.on_note = self._ride, self._heard
-        group.on_event.append(self._member)
+        # Rosters that arrived before the group started, with their source; the first one may.
+        self.early_rosters: list[tuple[ms.Roster, str]] = []
+        self.waiting_calls: list[ServerCall] = []
+        self.file = SnapshotFile(settings.snapshot, log, MOST_SNAPSHOT) if settings.snapshot else None
+        self.last_snapshot_at = self.loop.time()
+        # Requests the readiness of an invoker; its response goes to `probed`.
+        self.probe: Callable[[str], None] = lambda invoker: None
+        group.fleet_payload, group.on_note = self._payload, self._receive
+        group.on_event.append(self._member_event)
 
     def now(self) -> float:
         return self.loop.time() * 1000.0
 
     def start(self) -> None:
-        """When the group has begun."""
+        """Start the view. Called after the start of the group."""
         member = self.group.group
         assert member is not None
         limits = FleetLimits(
-            OpinionLimits(self.told.observers, self.told.most_out, self.told.opinions_lapse), self.told.silent_after
+            OpinionLimits(self.settings.observers, self.settings.most_out, self.settings.opinions_lapse),
+            self.settings.silent_after,
         )
-        self.fleet = self.kind(
+        self.fleet = self.fleet_class(
             (member.me.name, member.me.start),
             member.me.address,
             self.plan.controller.zone,
             self.plan.seed * 23 + self.plan.controller.number,
             limits,
         )
-        self._peers()
+        self._update_peers()
         if self.file is not None:
             self._restore(self.fleet)
-        early, self.early = self.early, []
-        for given, source in early:
-            self.roster(given, source)
+        early, self.early_rosters = self.early_rosters, []
+        for change, source in early:
+            self.roster(change, source)
         self._tick()
 
     def _restore(self, fleet: Fleet):
@@ -143,9 +146,9 @@
         if data is None:
             return
         try:
-            records, age = self.codec.restored(self.now(), self.wall() * 1000.0, data)
-        except NoteError as problem:
-            return self.file.refuse(str(problem))
+            records, age = self.codec.restored(self.now(), self.wall_clock() * 1000.0, data)
+        except NoteError as error:
+            return self.file.refuse(str(error))
         self.log.info("fleet snapshot read", invokers=len(records), age_ms=round(age))
         fleet.restore(self.now(), records)
 
@@ -153,28 +156,28 @@
 
     def _tick(self):
         assert self.fleet is not None
-        self._do(self.fleet.tick(self.now()))
-        if self.file is not None and self.loop.time() - self.written > self.told.snapshot_every / 1000.0:
+        self._carry_out(self.fleet.tick(self.now()))
+        if self.file is not None and self.loop.time() - self.last_snapshot_at > self.settings.snapshot_every / 1000.0:
             self.write_snapshot()
 
     def write_snapshot(self) -> None:
         if self.file is not None and self.fleet is not None:
-            self.written = self.loop.time()
-            self.file.write(self.codec.snapshot(self.now(), self.wall() * 1000.0, self.fleet.dump()))
+            self.last_snapshot_at = self.loop.time()
+            self.file.write(self.codec.snapshot(self.now(), self.wall_clock() * 1000.0, self.fleet.dump()))
 
-    def _do(self, sends: Iterable[Send]):
-        """After each step of the view: send, tell the module, come back when something is due."""
+    def _carry_out(self, sends: Iterable[Send]):
+        """After each step of the view: send messages, add inputs for the module, set the timer for the next step."""
         fleet = self.fleet
         assert fleet is not None
         if self.stopped:
-            return  # forwards that end as the door closes
+            return  # forwards that end while the server closes
         for send in sends:
             self.group.send_note(send.to, self.codec.encode(self.now(), send.note))
-        for where in fleet.take_probes():
-            self.probe(where)
+        for invoker in fleet.take_probes():
+            self.probe(invoker)
         places, doubts, events = fleet.take()
-        for given in gateway_inputs(places, doubts, fleet.version, self.now()):
-            self.tell(given)
+        for item in gateway_inputs(places, doubts, fleet.version, self.now()):
+            self.add_input(item)
         for event in events:
             self._event(event)
         if self.timer is not None:
@@ -182,49 +185,49 @@
         self.timer = self.loop.call_at(max(fleet.due(), self.now()) / 1000.0, self._tick)
 
     def _event(self, event: Happened):
-        told = {} if event.process is None else {"invoker": event.process[0], "boot": event.process[1]}
-        log = self.log.warning if event.kind in LOUD else self.log.info
+        details = {} if event.process is None else {"invoker": event.process[0], "boot": event.process[1]}
+        log = self.log.warning if event.kind in WARNING_KINDS else self.log.info
         log(
             "fleet",
             kind=event.kind,
-            **told,
+            **details,
             **({"by": event.by} if event.by else {}),
             **({"why": event.why} if event.why else {}),
         )
 
     # The group
 
-    def _member(self, event: Event):
+    def _member_event(self, event: Event):
         if event.kind in PRESENCE_KINDS:
-            self._peers()
+            self._update_peers()
 
-    def _peers(self):
+    def _update_peers(self):
         member = self.group.group
         if self.fleet is not None and member is not None:
             self.fleet.set_peers([Peer(row.name, row.address) for row in member.live() if row.seat != member.me.seat])
 
-    def _ride(self) -> bytes:
+    def _payload(self) -> bytes:
         if self.fleet is None:
             return b""
         now = self.now()
         return self.codec.encode(now, self.fleet.cargo(now))
 
-    def _heard(self, data: bytes):
-        """Raises ValueError with what was expected."""
+    def _receive(self, data: bytes):
+        """Raises ValueError; its text says what was expected."""
         now = self.now()
-        note = self.codec.decode(now, data)
+        message = self.codec.decode(now, data)
         if self.fleet is not None:
-            address(note.address)
-            self._do(self.fleet.heard(now, note))
+            address(message.address)
+            self._carry_out(self.fleet.heard(now, message))
 
     # The roster
 
-    def roster(self, given: ms.Roster, source: str) -> None:
+    def roster(self, change: ms.Roster, source: str) -> None:
         fleet = self.fleet
         if fleet is None:
-            self.early.append((given, source))
+            self.early_rosters.append((change, source))
             return
-        if given.kind == it.News.UNAVAILABLE.value:
+        if change.kind == it.News.UNAVAILABLE.value:
             return self.roster_lost()
         rows = [
             Told(
@@ -237,17 +240,17 @@
                 row.size,
                 row.age,
             )
-            for row in given.rows
+            for row in change.rows
         ]
-        fleet.roster(self.now(), given.kind != it.News.UPDATE.value, source, given.version, rows)
-        self._do([])
+        fleet.roster(self.now(), change.kind != it.News.UPDATE.value, source, change.version, rows)
+        self._carry_out([])
 
     def roster_lost(self) -> None:
         if self.fleet is not None:
             self.fleet.roster_lost(self.now())
-            self._do([])
+            self._carry_out([])
 
-    # Own eyes
+    # This controller's own observations
 
     def forward_sent(self, number: int, invoker: str) -> None:
         if self.fleet is not None:
@@ -257,14 +260,14 @@
         if self.fleet is None:
             return
         self.fleet.ended(self.now(), number, outcome.value, *_process(trailers))
-        self._do([])
+        self._carry_out([])
 
     def probed(self, invoker: str, trailers: Metadata) -> None:
         if self.fleet is not None:
             self.fleet.probed(self.now(), invoker, *_process(trailers))
-            self._do([])
+            self._carry_out([])
 
-    # Showing
+    # Serving the view
 
     def methods(self) -> dict[str, Method]:
         return {names.MEMBERSHIP_FLEET: unary(self._view)}
@@ -272,17 +275,17 @@
     def _view(self, call: ServerCall, data: bytes):
         if self.fleet is None:
             return call.finish(Status.UNAVAILABLE, "not yet in the group")
-        self.asking.append(call)
-        if len(self.asking) == 1:
-            self.tell(ms.BeliefsAsked(VIEW_TOKEN))
+        self.waiting_calls.append(call)
+        if len(self.waiting_calls) == 1:
+            self.add_input(ms.BeliefsAsked(VIEW_TOKEN))
 
     def beliefs_received(self, effect: ms.BeliefsGiven) -> None:
         copies: dict[tuple[str, str], int] = {}
-        for one in effect.known:
-            copies[one.invoker, one.boot] = copies.get((one.invoker, one.boot), 0) + one.copies
-        asking, self.asking = self.asking, []
+        for known in effect.known:
+            copies[known.invoker, known.boot] = copies.get((known.invoker, known.boot), 0) + known.copies
+        calls, self.waiting_calls = self.waiting_calls, []
         shown = msgspec.json.encode(self.shown(copies))
-        for call in asking:
+        for call in calls:
             call.send(platform.ViewReply(view=shown).SerializeToString())
             call.finish(Status.OK)
 
@@ -306,8 +309,8 @@
         )
 
     def _line(self, fleet: Fleet, now: float, record: Record, copies: int) -> Shown:
-        where, boot = record.process
-        place, listing = fleet.told.get(where), record.listing(fleet.credit.believed)
+        invoker, boot = record.process
+        place, listing = fleet.told.get(invoker), record.listing(fleet.credit.believed)
         current = place is not None and place.boot == boot
         said = [Said(who[0], word.course.name.lower(), word.source, word.version) for who, word in record.words.items()]
         said += [
@@ -318,16 +321,16 @@
             Said(who[0], one.kind, "", 0, one.zone, round(now - one.at, 1)) for who, one in record.opinions.items()
         ]
         status = place.status if current and place is not None else "gone"
-        running = math.nan if record.born is None else now - record.born
+        running_ms = math.nan if record.born is None else now - record.born
         return Shown(
-            where,
+            invoker,
             boot,
             listing.zone if listing else "",
             listing.kind if listing else "",
             status,
             current,
-            -1.0 if math.isnan(running) else round(running, 1),
-            fleet.doubted.get(where, "") if current else "",
+            -1.0 if math.isnan(running_ms) else round(running_ms, 1),
+            fleet.doubted.get(invoker, "") if current else "",
             copies,
             said,
         )
@@ -340,7 +343,7 @@
 
 
 def _process(trailers: Metadata) -> tuple[str, bool, float | None]:
-    """What an invoker tells of its process: name, whether it drains, how long it runs."""
+    """What an invoker reports of its process: identity, whether it is draining, how long it has been running (ms)."""
     return (
         trailers.get(names.BOOT, ""),
         trailers.get(names.DRAINING, "") == "1",
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -110,7 +110,7 @@
 def carrier(folder: Path):
     """A carrier with only the parts that keep ballots and send messages, and the messages that it sent."""
     failover, sent = FailoverCarrier.__new__(FailoverCarrier), []
-    failover.file, failover.unkept, failover.log = (
+    failover.file, failover.unstored_ballot, failover.log = (
         SnapshotFile(str(folder / "ballot"), RecordingLog(), 10_000),
         None,
         RecordingLog(),
@@ -132,14 +132,14 @@
         if how == "ENOSPC":
             (tmp_path / "late").mkdir()
             FailingStep(patch, 1, OSError(errno.ENOSPC, "full"))
-        failover._do(vote_effects(3))
-        assert sent == [] and failover.unkept is not None
-        failover._do([Tell("other", Word("beat", "me", 3))])
+        failover._carry_out(vote_effects(3))
+        assert sent == [] and failover.unstored_ballot is not None
+        failover._carry_out([Tell("other", Word("beat", "me", 3))])
         assert sent == []
     (tmp_path / "late").mkdir(exist_ok=True)
-    failover._keep(failover.file, failover.unkept)
-    assert failover.unkept is None and ballot(failover.file.read()).term == 3
-    failover._do(vote_effects(4))
+    failover._store_ballot(failover.file, failover.unstored_ballot)
+    assert failover.unstored_ballot is None and ballot(failover.file.read()).term == 3
+    failover._carry_out(vote_effects(4))
     assert [word.term for word in sent] == [4] and ballot(failover.file.read()).term == 4
 
 
