--- a/sprucespool/daemon/serve.py
+++ b/sprucespool/daemon/serve.py
@@ -1,4 +1,4 @@
-"""One controller process, from its settings to its end."""
+"""Runs one controller process, from its settings to its shutdown."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from typing import Any
 
 from sprucespool import interface as it
-from sprucespool.daemon.door import Door
+from sprucespool.daemon.gateway_server import GatewayServer
 from sprucespool.daemon.failover import FailoverCarrier
 from sprucespool.daemon.fleet import FleetCarrier
 from sprucespool.daemon.group import GroupCarrier
-from sprucespool.daemon.logs import opened
+from sprucespool.daemon.logs import open_log
 from sprucespool.daemon.roster import RosterFile, RosterWatch
 from sprucespool.failover import Failover, Steer
 from sprucespool.fleet import Fleet
@@ -29,31 +29,31 @@
 from sprucespool.transport.listener import Listener, Server
 
 
-class Weighing:
-    """Load and capacity of this process since it was last asked, in the order of `group.FIGURES`."""
+class LoadMeter:
+    """Measures load and capacity of this process since the last call, in the order of `group.LOAD_METRICS`."""
 
-    def __init__(self, door: Door):
-        self.door = door
-        self.before = door.now(), 0, 0, time.process_time()
+    def __init__(self, server: GatewayServer):
+        self.server = server
+        self.previous = server.now(), 0, 0, time.process_time()
 
-    def figures(self) -> tuple[float, ...]:
-        door, counts = self.door, self.door.gateway.counts
-        at, taken, shed, cpu = self.before
-        now, shed_now = door.now(), counts.shed + door.turned_away
-        self.before = now, counts.taken, shed_now, time.process_time()
-        span = max(1.0, now - at) / 1000.0
+    def values(self) -> tuple[float, ...]:
+        server, counts = self.server, self.server.gateway.counts
+        since, taken, shed, cpu = self.previous
+        now, shed_now = server.now(), counts.shed + server.turned_away
+        self.previous = now, counts.taken, shed_now, time.process_time()
+        duration_seconds = max(1.0, now - since) / 1000.0
         return (
-            round((counts.taken - taken) / span, 1),
-            round((shed_now - shed) / span, 1),
-            float(len(door.clients)),
-            float(door.plan.bounds.calls),
-            round(door.turn.lag, 1),
-            round((self.before[3] - cpu) / span, 3),
+            round((counts.taken - taken) / duration_seconds, 1),
+            round((shed_now - shed) / duration_seconds, 1),
+            float(len(server.clients)),
+            float(server.plan.bounds.calls),
+            round(server.batch.lag, 1),
+            round((self.previous[3] - cpu) / duration_seconds, 3),
         )
 
 
 class Daemon:
-    """The wiring; `start`, then `stop`."""
+    """Connects the parts of a controller. Call `start`, then `stop`."""
 
     def __init__(
         self,
@@ -67,28 +67,28 @@
         steer: type[Steer] = Steer,
     ):
         self.plan, self.log = plan, log
-        self.sink = open(plan.record, "wb") if plan.record else None
-        self.door = Door(plan, log, self.sink, decider, library)
+        self.record_file = open(plan.record, "wb") if plan.record else None
+        self.server = GatewayServer(plan, log, self.record_file, decider, library)
         self.group: GroupCarrier | None = None
         if plan.group is not None:
-            self.group = GroupCarrier(plan, plan.group, self.door.tell, log, self.door.about, member)
-            self.group.on_event.append(self._member)
-            self.group.weigh = Weighing(self.door).figures
+            self.group = GroupCarrier(plan, plan.group, self.server.add_input, log, self.server.own_metadata, member)
+            self.group.on_event.append(self._member_event)
+            self.group.measure_load = LoadMeter(self.server).values
         self.fleet: FleetCarrier | None = None
         if plan.fleet_view is not None and plan.group is not None and self.group is not None:
-            self.fleet = self.door.eyes = FleetCarrier(
-                plan, plan.fleet_view, plan.group, self.group, self._told, log, view
+            self.fleet = self.server.fleet = FleetCarrier(
+                plan, plan.fleet_view, plan.group, self.group, self._add_input, log, view
             )
-            self.fleet.probe = self.door.ask_ready
+            self.fleet.probe = self.server.request_readiness
         self.failover: FailoverCarrier | None = None
         if plan.failover is not None and self.group is not None and self.fleet is not None:
-            self.failover = self.door.steers = FailoverCarrier(
+            self.failover = self.server.failover = FailoverCarrier(
                 plan, plan.failover, self.group, self.fleet, log, failover, steer
             )
         bounds = plan.bounds
         self.listener = Listener(
             {
-                **self.door.methods(),
+                **self.server.methods(),
                 **(self.group.methods() if self.group else {}),
                 **(self.fleet.methods() if self.fleet else {}),
                 **(self.failover.methods() if self.failover else {}),
@@ -104,68 +104,68 @@
                 half_received=bounds.half_received,
             ),
         )
-        # The listener hears from the door how late the loop is.
-        self.listener.acceptor.possible_wait_ms = self.door.turn.pace.possible_wait_ms
-        tell = self._roster_told
+        # The listener takes from the server how long an accepted connection may have waited for the event loop.
+        self.listener.acceptor.possible_wait_ms = self.server.batch.pace.possible_wait_ms
+        on_roster = self._roster_input
         self.roster: RosterFile | RosterWatch
         if plan.roster.watch is not None:
             self.roster = RosterWatch(
                 plan.roster.watch,
                 plan.roster.asked,
-                tell,
+                on_roster,
                 log,
                 plan.seed * 31 + plan.controller.number,
-                dict(self.door.about),
+                dict(self.server.own_metadata),
                 plan.source,
             )
             if self.fleet is not None:
                 self.roster.on_lost = self.fleet.roster_lost
-            self.door.fetch_roster = self.roster.fetch
+            self.server.fetch_roster = self.roster.fetch
         else:
             assert plan.roster.file is not None
-            self.roster = RosterFile(plan.roster.file, tell, log)
-        self.door.subscribe = self.roster.subscribe
+            self.roster = RosterFile(plan.roster.file, on_roster, log)
+        self.server.subscribe = self.roster.subscribe
 
-    def _roster_told(self, given: ms.Input):
-        if self.fleet is not None and isinstance(given, ms.Roster):
-            # The view tells the module what all know of it.
-            return self.fleet.roster(given, self.roster.source or self.plan.roster.name)
-        self._told(given)
+    def _roster_input(self, item: ms.Input):
+        if self.fleet is not None and isinstance(item, ms.Roster):
+            # The shared view passes on to the module what the whole group knows of the roster.
+            return self.fleet.roster(item, self.roster.source or self.plan.roster.name)
+        self._add_input(item)
 
-    def _told(self, given: ms.Input):
-        self.door.ready = self.door.ready or isinstance(given, ms.Roster)
-        self.door.tell(given)
-        if self.door.exchange is not None and isinstance(given, ms.Roster):
-            self.door.exchange.roster(given)
+    def _add_input(self, item: ms.Input):
+        self.server.ready = self.server.ready or isinstance(item, ms.Roster)
+        self.server.add_input(item)
+        if self.server.exchange is not None and isinstance(item, ms.Roster):
+            self.server.exchange.roster(item)
 
-    def _member(self, event: Event):
-        if self.door.exchange is not None and event.row is not None and event.kind in ("joined", "restarted"):
-            self.door.exchange.member(event.row.address)
+    def _member_event(self, event: Event):
+        if self.server.exchange is not None and event.row is not None and event.kind in ("joined", "restarted"):
+            self.server.exchange.member_joined(event.row.address)
 
     async def start(self) -> int:
-        """Gives the port. Raises OSError where the address can't be had."""
-        host, port = loopback(self.plan.listen)
-        found = await self.listener.start(host, port)
-        self.door.tell(ms.Roster(it.News.RESTORED.value))
+        """Returns the port. Raises OSError if the address is not available."""
+        host, listen_port = loopback(self.plan.listen)
+        port = await self.listener.start(host, listen_port)
+        self.server.add_input(ms.Roster(it.News.RESTORED.value))
         self.roster.start()
-        if self.door.exchange is not None:
-            self.door.exchange.start()
+        if self.server.exchange is not None:
+            self.server.exchange.start()
         if self.group is not None:
-            self.group.start(f"{host}:{found}")
+            self.group.start(f"{host}:{port}")
         if self.fleet is not None:
             self.fleet.start()
         if self.failover is not None:
             self.failover.start()
-        return found
+        return port
 
     async def stop(self, timeout: float) -> int:
-        """No new calls, owed answers given; gives how many were failed for want of time."""
-        self.door.leaving = True
-        # Those of the group are heard to the end: a controller that drains is not one that is silent.
+        """Accept no new calls and answer the open ones. Returns how many were failed because the time was up."""
+        self.server.stopping = True
+        # Group messages are accepted to the end: other members must not take a draining controller for a dead one.
         self.listener.go_away(frozenset(self.group.methods()) if self.group is not None else frozenset())
         if self.group is not None:
             self.group.draining()
-        left = await self.door.stop(timeout)
+        left = await self.server.stop(timeout)
         if self.group is not None:
             await self.group.leave()
         await self.listener.drain(500.0)
@@ -180,10 +180,10 @@
             self.fleet.stop()
         if self.group is not None:
             self.group.stop()
-        self.door.close()
+        self.server.close()
         self.listener.close()
-        if isinstance(self.door.taker, Recorder):
-            self.door.taker.close()
+        if isinstance(self.server.input_sink, Recorder):
+            self.server.input_sink.close()
 
 
 async def _serve(
@@ -196,40 +196,40 @@
     steer: type[Steer],
 ) -> int:
     loop = asyncio.get_running_loop()
-    log = opened(plan.log.level, plan.log.file, controller=plan.controller.number)
+    log = open_log(plan.log.level, plan.log.file, controller=plan.controller.number)
     daemon = Daemon(plan, log, decider, library, member, view, failover, steer)
     try:
         port = await daemon.start()
-    except OSError as problem:
-        print(f"{plan.listen}: can't listen: {problem.strerror or problem}", file=sys.stderr)
+    except OSError as error:
+        print(f"{plan.listen}: can't listen: {error.strerror or error}", file=sys.stderr)
         daemon.close()
         return 2
-    ending, at_once = asyncio.Event(), asyncio.Event()
+    shutdown, immediate = asyncio.Event(), asyncio.Event()
 
-    def signalled():
-        (at_once if ending.is_set() else ending).set()
+    def on_signal():
+        (immediate if shutdown.is_set() else shutdown).set()
 
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, signalled)
+        loop.add_signal_handler(number, on_signal)
     log.info("listening", address=f"{plan.listen.rpartition(':')[0]}:{port}")
     print(f"listening on {plan.listen.rpartition(':')[0]}:{port}", flush=True)
-    # What stands after the start lives as long as the process: the collector need not look through it again.
+    # Objects that exist after the start live as long as the process: the garbage collector need not scan them again.
     gc.freeze()
     gc.set_threshold(50_000, 20, 100)
-    await ending.wait()
-    log.info("stopping", owed=daemon.door.gateway.owed)
+    await shutdown.wait()
+    log.info("stopping", owed=daemon.server.gateway.owed)
     stopping = loop.create_task(daemon.stop(plan.stop_within))
-    hurry = loop.create_task(at_once.wait())
-    await asyncio.wait({stopping, hurry}, return_when=asyncio.FIRST_COMPLETED)
-    left = stopping.result() if stopping.done() else len(daemon.door.clients)
-    hurry.cancel()
+    interrupt = loop.create_task(immediate.wait())
+    await asyncio.wait({stopping, interrupt}, return_when=asyncio.FIRST_COMPLETED)
+    left = stopping.result() if stopping.done() else len(daemon.server.clients)
+    interrupt.cancel()
     stopping.cancel()
     daemon.close()
     counts = {
         "controller": plan.controller.number,
         "failed_at_the_end": left,
-        "turned_away": daemon.door.turned_away,
-        **daemon.door.gateway.counts.as_dict(),
+        "turned_away": daemon.server.turned_away,
+        **daemon.server.gateway.counts.as_dict(),
     }
     log.info("stopped", **counts)
     print(f"stopped {json.dumps(counts)}", flush=True)
@@ -246,6 +246,6 @@
     steer: type[Steer] = Steer,
     loop: Callable[[], asyncio.AbstractEventLoop] | None = None,
 ) -> int:
-    """Run one controller until it is told to end; gives the exit status."""
+    """Run one controller until a signal stops it. Returns the exit status."""
     with asyncio.Runner(loop_factory=loop) as runner:
         return runner.run(_serve(plan, decider, library, member, view, failover, steer))
