--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -22,7 +22,7 @@
 
 from sprucespool.emulator.cases import CASES, play
 from sprucespool.emulator.fleet import FleetWorld
-from sprucespool.fleet import Listing, Opinion, OpinionLimits, Record, View, Weighing, judged
+from sprucespool.fleet import IncrementalAssessment, Listing, Opinion, OpinionLimits, Record, View, assess
 
 
 def _case(told: tuple[str, int, int, int, bool]) -> dict:
@@ -81,15 +81,15 @@
         plain = list(view.records.values())
         begun = time.process_time()
         for _ in range(100):
-            judged(1.0, plain, "z0", set(), limits)
+            assess(1.0, plain, "z0", set(), limits)
             for record in plain:
                 any(1.0 - one.at > 15_000.0 for one in record.opinions.values())
         through = time.process_time() - begun
-        weighing = Weighing(limits)
-        weighing.look(1.0, view, "z0", lambda process: False, None)
+        assessment = IncrementalAssessment(limits)
+        assessment.update(1.0, view, "z0", lambda process: False, None)
         begun = time.process_time()
         for n in range(100):
-            weighing.look(1.0, view, "z0", lambda process: False, [(f"w{n % max(1, boxes // 20)}", "1")])
+            assessment.update(1.0, view, "z0", lambda process: False, [(f"w{n % max(1, boxes // 20)}", "1")])
             view.sweep(1.0)
         indexed = time.process_time() - begun
         print(
--- a/sprucespool/daemon/failover.py
+++ b/sprucespool/daemon/failover.py
@@ -238,10 +238,10 @@
                     place.zone,
                     place.size,
                     None if place.born is None else now - place.born,
-                    bool(fleet.doubted.get(place.address)),
+                    bool(fleet.suspected.get(place.address)),
                     place.cell,
                 )
-                for place in fleet.told.values()
+                for place in fleet.reported.values()
                 if place.status == it.Status.IN_SERVICE.value
             ]
         )
@@ -313,7 +313,7 @@
         return self.steer.zones(now, self.failover.follow(now), bound, group.value)
 
     def sent(self, number: int, invoker: str, group: str) -> None:
-        place = self.fleet.fleet.told.get(invoker) if self.fleet.fleet is not None else None
+        place = self.fleet.fleet.reported.get(invoker) if self.fleet.fleet is not None else None
         if place is not None:
             self.out[number] = place.zone, self.now(), group
 
--- a/sprucespool/daemon/fleet.py
+++ b/sprucespool/daemon/fleet.py
@@ -12,8 +12,19 @@
 from sprucespool import interface as it
 from sprucespool.daemon.group import GroupCarrier
 from sprucespool.daemon.snapshots import SnapshotFile
-from sprucespool.fleet import Codec, Fleet, FleetLimits, Happened, Listed, NoteError, OpinionLimits, Peer, Send, Told
-from sprucespool.fleet.codec import MOST_SNAPSHOT
+from sprucespool.fleet import (
+    Codec,
+    Fleet,
+    FleetEvent,
+    FleetLimits,
+    FleetMessageError,
+    Listed,
+    OpinionLimits,
+    Peer,
+    RosterRow,
+    Send,
+)
+from sprucespool.fleet.codec import MAX_SNAPSHOT_BYTES
 from sprucespool.fleet.gateway_inputs import gateway_inputs
 from sprucespool.fleet.records import Record
 from sprucespool.gateway import messages as ms
@@ -105,7 +116,7 @@
         # What came before the group began: the roster's first list may.
         self.early: list[tuple[ms.Roster, str]] = []
         self.asking: list[ServerCall] = []
-        self.file = SnapshotFile(told.snapshot, log, MOST_SNAPSHOT) if told.snapshot else None
+        self.file = SnapshotFile(told.snapshot, log, MAX_SNAPSHOT_BYTES) if told.snapshot else None
         self.written = self.loop.time()
         # Asks an invoker whether it is ready; `probed` hears of it.
         self.probe: Callable[[str], None] = lambda where: None
@@ -144,7 +155,7 @@
             return
         try:
             records, age = self.codec.restored(self.now(), self.wall() * 1000.0, data)
-        except NoteError as problem:
+        except FleetMessageError as problem:
             return self.file.refuse(str(problem))
         self.log.info("fleet snapshot read", invokers=len(records), age_ms=round(age))
         fleet.restore(self.now(), records)
@@ -169,7 +180,7 @@
         if self.stopped:
             return  # forwards that end as the door closes
         for send in sends:
-            self.group.send_note(send.to, self.codec.encode(self.now(), send.note))
+            self.group.send_note(send.to, self.codec.encode(self.now(), send.message))
         for where in fleet.take_probes():
             self.probe(where)
         places, doubts, events = fleet.take()
@@ -181,7 +192,7 @@
             self.timer.cancel()
         self.timer = self.loop.call_at(max(fleet.due(), self.now()) / 1000.0, self._tick)
 
-    def _event(self, event: Happened):
+    def _event(self, event: FleetEvent):
         told = {} if event.process is None else {"invoker": event.process[0], "boot": event.process[1]}
         log = self.log.warning if event.kind in LOUD else self.log.info
         log(
@@ -207,7 +218,7 @@
         if self.fleet is None:
             return b""
         now = self.now()
-        return self.codec.encode(now, self.fleet.cargo(now))
+        return self.codec.encode(now, self.fleet.piggyback_message(now))
 
     def _heard(self, data: bytes):
         """Raises ValueError with what was expected."""
@@ -215,7 +226,7 @@
         note = self.codec.decode(now, data)
         if self.fleet is not None:
             address(note.address)
-            self._do(self.fleet.heard(now, note))
+            self._do(self.fleet.receive(now, note))
 
     # The roster
 
@@ -227,7 +238,7 @@
         if given.kind == it.News.UNAVAILABLE.value:
             return self.roster_lost()
         rows = [
-            Told(
+            RosterRow(
                 (row.invoker, row.boot),
                 LISTED.get(row.status, Listed.NOT),
                 row.status == GONE,
@@ -301,15 +312,17 @@
             fleet.version,
             fleet.live,
             list(fleet.panic),
-            sorted({name for name, _ in fleet.credit.distrusted}),
+            sorted({name for name, _ in fleet.trust.distrusted}),
             lines,
         )
 
     def _line(self, fleet: Fleet, now: float, record: Record, copies: int) -> Shown:
         where, boot = record.process
-        place, listing = fleet.told.get(where), record.listing(fleet.credit.believed)
+        place, listing = fleet.reported.get(where), record.listing(fleet.trust.believed)
         current = place is not None and place.boot == boot
-        said = [Said(who[0], word.course.name.lower(), word.source, word.version) for who, word in record.words.items()]
+        said = [
+            Said(who[0], word.course.name.lower(), word.source, word.version) for who, word in record.claims.items()
+        ]
         said += [
             Said(who[0], one.listed.name.lower().replace("_", " "), one.source, one.version)
             for who, one in record.listings.items()
@@ -327,7 +340,7 @@
             status,
             current,
             -1.0 if math.isnan(running) else round(running, 1),
-            fleet.doubted.get(where, "") if current else "",
+            fleet.suspected.get(where, "") if current else "",
             copies,
             said,
         )
--- a/sprucespool/emulator/cases.py
+++ b/sprucespool/emulator/cases.py
@@ -11,7 +11,7 @@
 
 from sprucespool.emulator.fleet import Box, FleetWorld
 from sprucespool.faults import LinkState
-from sprucespool.fleet import Fleet, Listed, Listing, Opinion, Record, Send, Word
+from sprucespool.fleet import CourseClaim, Fleet, Listed, Listing, Opinion, Record, Send
 from sprucespool.fleet.records import Course
 from sprucespool.judge import fleet as seen
 from sprucespool.judge.group import BrokenInvariant
@@ -26,8 +26,8 @@
 
     def tick(self, now: float) -> list[Send]:
         said = super().tick(now)
-        self._chance(2)
-        if self.lying and self.drawn % 3 == 0:
+        self._draw(2)
+        if self.lying and self.draws % 3 == 0:
             known = list(self.view.records.values())
             rows = []
             for n, record in enumerate(known[:64]):
@@ -35,8 +35,8 @@
                 rows.append(
                     Record(
                         record.process,
-                        words={self.me: Word(course, self.version, self.source or "roster")},
-                        opinions={self.me: Opinion(self.drawn + 1, "silent", self.zone, self.now)},
+                        claims={self.me: CourseClaim(course, self.version, self.source or "roster")},
+                        opinions={self.me: Opinion(self.draws + 1, "silent", self.zone, self.now)},
                     )
                 )
             for n in range(8):
@@ -49,7 +49,7 @@
                     )
                 )
             for peer in self.peers[:16]:
-                said.append(Send(peer.address, self._note("push", tuple(rows))))
+                said.append(Send(peer.address, self._message("push", tuple(rows))))
         return said
 
 
--- a/sprucespool/emulator/fleet.py
+++ b/sprucespool/emulator/fleet.py
@@ -14,7 +14,18 @@
 from typing import Any
 
 from sprucespool.emulator.group import Virtual
-from sprucespool.fleet import Codec, Doubt, Fleet, FleetLimits, Listed, Note, Peer, Place, Send, Told
+from sprucespool.fleet import (
+    Codec,
+    Fleet,
+    FleetLimits,
+    FleetMessage,
+    InvokerState,
+    Listed,
+    Peer,
+    RosterRow,
+    Send,
+    Suspicion,
+)
 from sprucespool.fleet.fleet import STATUS
 from sprucespool.judge import fleet as seen
 from sprucespool.judge import group as group_seen
@@ -41,7 +52,7 @@
     tells: bool = True
 
 
-def status_of(row: Told) -> str:
+def status_of(row: RosterRow) -> str:
     """As a roster tells it."""
     return "gone" if row.gone else STATUS[row.listed]
 
@@ -68,13 +79,13 @@
 class _Mind:
     """What a controller goes by: places told, doubts told, and whom it set aside itself until when."""
 
-    places: dict[str, Place] = field(default_factory=dict)
+    places: dict[str, InvokerState] = field(default_factory=dict)
     doubted: set[str] = field(default_factory=set)
     aside: dict[str, float] = field(default_factory=dict)
     gap: dict[str, float] = field(default_factory=dict)
     connected: bool = False
     # Those in service and not doubted; None when that changed.
-    well: list[Place] | None = None
+    well: list[InvokerState] | None = None
 
 
 class FleetWorld(Virtual):
@@ -111,12 +122,12 @@
         self.group_noted: list[group_seen.Happened] = []
         self.told: dict[tuple[str, str], float] = {}
         self.version, self.roster_up = 0, True
-        self.rows: dict[str, Told] = {}
+        self.rows: dict[str, RosterRow] = {}
         # Names that the roster pushes to; None stands for all.
         self.only: set[str] | None = None
         self.boxes: dict[str, Box] = {}
         self.fleet_codec = Codec("virtual", "mark")
-        self.encoded: tuple[Note | None, float, bytes] = (None, 0.0, b"")
+        self.encoded: tuple[FleetMessage | None, float, bytes] = (None, 0.0, b"")
         self.seen_rows: dict[tuple[str, int, State, int, int], group_seen.SeenRow] = {}
         self.moments: list[Any] = []
         self.usable: list[float] = []
@@ -182,9 +193,9 @@
     def _wrapped(self, one: Group, message: Message) -> Any:
         if not self.share or one not in self.fleets:
             return message
-        return message, self._weighed(one, self.fleets[one].cargo(self._time(one)))
+        return message, self._weighed(one, self.fleets[one].piggyback_message(self._time(one)))
 
-    def _weighed(self, one: Group, note: Note) -> bytes:
+    def _weighed(self, one: Group, note: FleetMessage) -> bytes:
         """As bytes, so that moments travel as ages here too."""
         now = self._time(one)
         if self.encoded[0] is not note or self.encoded[1] != now:
@@ -204,13 +215,13 @@
         fleet = self.fleets.get(one)
         if fleet is not None and self.share:
             now = self._time(one)
-            self._fleet_do(one, fleet.heard(now, self.fleet_codec.decode(now, data)))
+            self._fleet_do(one, fleet.receive(now, self.fleet_codec.decode(now, data)))
 
     def _fleet_do(self, one: Group, sends: Iterable[Send]):
         fleet, mind = self.fleets[one], self.minds[one]
         if self.share:
             for send in sends:
-                self.post(one.name, send.to, (None, self._weighed(one, send.note)))
+                self.post(one.name, send.to, (None, self._weighed(one, send.message)))
         for address in fleet.take_probes():
             self._later(self.chance.uniform(2, 24), partial(self._probed, one, address))
         places, doubts, events = fleet.take()
@@ -232,7 +243,7 @@
 
             self._later(due - self.now, act)
 
-    def _learned(self, one: Group, places: list[Place], doubts: list[Doubt]):
+    def _learned(self, one: Group, places: list[InvokerState], doubts: list[Suspicion]):
         """What the view told a controller's user just now."""
 
     def _fleet_tick(self, one: Group):
@@ -245,9 +256,9 @@
 
     # The roster
 
-    def _row(self, box: Box, gone: bool = False) -> Told:
+    def _row(self, box: Box, gone: bool = False) -> RosterRow:
         listed = Listed.DRAINING if box.draining else Listed.IN_SERVICE
-        return Told((box.address, box.boot), listed, gone, box.zone, age=max(0.0, self.now - box.born))
+        return RosterRow((box.address, box.boot), listed, gone, box.zone, age=max(0.0, self.now - box.born))
 
     def _reaches(self, one: Group) -> bool:
         return (
@@ -263,7 +274,7 @@
         after = self.lag * self.chance.uniform(0.7, 1.3) + self.extra
         self._later(after, lambda: self._published(box, row))
 
-    def _published(self, box: Box, row: Told):
+    def _published(self, box: Box, row: RosterRow):
         self.version += 1
         known = self.rows.get(box.address)
         if row.gone and known is not None and known.process == row.process:
@@ -278,7 +289,7 @@
                 self.streams[one] = due
                 self._later(due - self.now, partial(self._tell, one, False, version, [row]))
 
-    def _tell(self, one: Group, whole: bool, version: int, rows: list[Told], source: str = "roster"):
+    def _tell(self, one: Group, whole: bool, version: int, rows: list[RosterRow], source: str = "roster"):
         fleet = self.fleets.get(one)
         if fleet is None:
             return
@@ -292,7 +303,7 @@
         fleet.roster(self._time(one), whole, source, version, rows)
         self._fleet_do(one, [])
 
-    def old_copy(self, names: Iterable[str], version: int, rows: list[Told]) -> None:
+    def old_copy(self, names: Iterable[str], version: int, rows: list[RosterRow]) -> None:
         """A roster restored from an old copy tells these its whole list."""
         for name in names:
             self._tell(self.members[name], True, version, rows)
@@ -372,7 +383,7 @@
 
     # Forwards
 
-    def _usable(self, one: Group) -> list[Place]:
+    def _usable(self, one: Group) -> list[InvokerState]:
         mind = self.minds[one]
         if mind.well is None:
             places = [place for place in mind.places.values() if place.status == "in service"]
@@ -403,7 +414,7 @@
         self.out[number] = one, box, box.boot
         self._later(delay, lambda: self._arrive(one, number, box, place))
 
-    def _arrive(self, one: Group, number: int, box: Box, place: Place):
+    def _arrive(self, one: Group, number: int, box: Box, place: InvokerState):
         if number not in self.out:
             return
         cut = self.links.between(one.name, box.name).cut or self.links.between(box.name, one.name).cut
@@ -460,7 +471,7 @@
         )
 
     def look(self) -> None:
-        """Note all views for the judge, and how much of the fleet they leave to choose from."""
+        """FleetMessage all views for the judge, and how much of the fleet they leave to choose from."""
         serving = {box.address for box in self.boxes.values() if box.up and not box.draining and not box.hung}
         open_to = [len({place.address for place in self._usable(one)} & serving) for one in self.members.values()]
         self.usable.append(sum(open_to) / max(1, len(open_to) * len(serving)))
@@ -474,7 +485,7 @@
                     self.now,
                     name,
                     f"{fleet.digest:016x}",
-                    [(place.address, place.boot, place.status) for place in fleet.told.values()],
+                    [(place.address, place.boot, place.status) for place in fleet.reported.values()],
                 )
             )
 
--- a/sprucespool/emulator/models.py
+++ b/sprucespool/emulator/models.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 from sprucespool.failover import Ballot, Council, Keep, Plan, Word
-from sprucespool.fleet import Course, Fleet, Listed, Note, Record, Told
+from sprucespool.fleet import Course, Fleet, FleetMessage, Listed, Record, RosterRow
 from sprucespool.membership import About, Group, GroupLimits, Row, State
 from sprucespool.membership.rows import Phase
 from sprucespool.membership.shares import Shares
@@ -312,7 +312,7 @@
                 whole or what == "old copy",
                 "r",
                 step + 1,
-                [Told(("w", boot), listed, gone, age=1_000.0 if boot == "1" else 10.0)],
+                [RosterRow(("w", boot), listed, gone, age=1_000.0 if boot == "1" else 10.0)],
             )
             self.at[name] = step + 1
             self.ended[name] |= step in (1, 2)
@@ -326,7 +326,7 @@
         elif what == "tell":
             self.air.append(tuple(one.view.records.values()))
         elif what == "hear":
-            one.heard(0.0, Note("extra", ("c?", 1), "at-c?", one.digest, 0, self.air[move[2]]))
+            one.receive(0.0, FleetMessage("extra", ("c?", 1), "at-c?", one.digest, 0, self.air[move[2]]))
             for record in self.air[move[2]]:
                 self.ended[name] |= record.process[1] == "1" and record.course() > Course.SERVING
         else:
@@ -337,7 +337,7 @@
     def _watch(self, name: str):
         if self.fleets[name].course(("w", "2")) is not Course.SERVING:
             self.sins = f"{name} takes the process that serves for one that is over"
-        place = self.fleets[name].told.get("w")
+        place = self.fleets[name].reported.get("w")
         if place is None or place.boot != "1":
             return
         if self.ended[name] and place.status == "in service":
@@ -353,10 +353,10 @@
                     repr(sorted(one.view.records.items())),
                     one.live,
                     one.version,
-                    one.whole_from,
-                    repr(sorted(one.own.items(), key=repr)),
+                    one.complete_since,
+                    repr(sorted(one.own_rows.items(), key=repr)),
                     one.boots.get("w"),
-                    repr(one.told.get("w")),
+                    repr(one.reported.get("w")),
                     self.at[name],
                     self.ended[name],
                     self.replaced[name],
@@ -376,7 +376,9 @@
         for reverse in (False, True):
             one = self.kind(("m", 1), "at-m", "z")
             for fleet in sorted(self.fleets.values(), key=lambda fleet: fleet.me, reverse=reverse):
-                one.heard(0.0, Note("extra", ("c?", 1), "at-c?", one.digest, 0, tuple(fleet.view.records.values())))
+                one.receive(
+                    0.0, FleetMessage("extra", ("c?", 1), "at-c?", one.digest, 0, tuple(fleet.view.records.values()))
+                )
             merged.append(one)
         return "" if merged[0].digest == merged[1].digest else "told in another order it holds something else"
 
--- a/sprucespool/emulator/plans.py
+++ b/sprucespool/emulator/plans.py
@@ -43,7 +43,7 @@
     near,
 )
 from sprucespool.failover.council import Ballot, Effect
-from sprucespool.fleet import Fleet, Place
+from sprucespool.fleet import Fleet, InvokerState
 from sprucespool.judge import failover as judged
 from sprucespool.membership import Group, GroupLimits, Message
 
@@ -248,9 +248,9 @@
                 place.zone,
                 place.size * self.habits.cores,
                 None if place.born is None else now - place.born,
-                place.address in fleet.doubted,
+                place.address in fleet.suspected,
             )
-            for place in fleet.told.values()
+            for place in fleet.reported.values()
             if place.status == "in service"
         ]
         loaded = [Loaded(one.about.zone, *self.parts[one].meter.figures(now), at=now)]
@@ -414,7 +414,7 @@
         self,
         one: Group,
         number: int,
-        place: Place,
+        place: InvokerState,
         bound: bool,
         work: float,
         since: float,
--- a/sprucespool/fleet/__init__.py
+++ b/sprucespool/fleet/__init__.py
@@ -3,37 +3,37 @@
 `Fleet` is one controller's part; `Codec` its notes as bytes. No I/O, no clock.
 """
 
-from sprucespool.fleet.codec import Codec, NoteError
+from sprucespool.fleet.codec import Codec, FleetMessageError
 from sprucespool.fleet.fleet import Fleet, FleetLimits, Peer
-from sprucespool.fleet.notes import Doubt, Happened, Note, Place, Send, Told
-from sprucespool.fleet.opinions import Judged, OpinionLimits, Weighing, judged
-from sprucespool.fleet.records import Course, Listed, Listing, Opinion, Process, Record, Witness, Word, merged
+from sprucespool.fleet.messages import FleetEvent, FleetMessage, InvokerState, RosterRow, Send, Suspicion
+from sprucespool.fleet.opinions import Assessment, IncrementalAssessment, OpinionLimits, assess
+from sprucespool.fleet.records import Course, CourseClaim, Listed, Listing, Opinion, Process, Record, Witness, merged
 from sprucespool.fleet.view import View
 
 __all__ = [
     "Codec",
     "Course",
-    "Doubt",
+    "Suspicion",
     "Fleet",
     "FleetLimits",
-    "Happened",
-    "Judged",
+    "FleetEvent",
+    "Assessment",
     "Listed",
     "Listing",
-    "Note",
-    "NoteError",
+    "FleetMessage",
+    "FleetMessageError",
     "Opinion",
     "OpinionLimits",
     "Peer",
-    "Place",
+    "InvokerState",
     "Process",
     "Record",
     "Send",
-    "Told",
+    "RosterRow",
     "View",
-    "Weighing",
+    "IncrementalAssessment",
     "Witness",
-    "Word",
-    "judged",
+    "CourseClaim",
+    "assess",
     "merged",
 ]
--- a/sprucespool/fleet/codec.py
+++ b/sprucespool/fleet/codec.py
@@ -15,31 +15,31 @@
 
 import msgspec
 
-from sprucespool.fleet.notes import KINDS, Note
+from sprucespool.fleet.messages import KINDS, FleetMessage
 from sprucespool.fleet.records import (
-    MOST_LISTINGS,
-    MOST_OPINIONS,
-    MOST_WORDS,
+    MAX_CLAIMS,
+    MAX_LISTINGS,
+    MAX_OPINIONS,
     Course,
+    CourseClaim,
     Listed,
     Listing,
     Opinion,
     Record,
-    Word,
 )
 
-MOST_BYTES, MOST_RECORDS, LONGEST, SEAL = 262_144, 256, 256, 16
-MOST_SNAPSHOT = 16 * 2**20
+MAX_MESSAGE_BYTES, MAX_RECORDS, MAX_TEXT_LENGTH, SEAL_BYTES = 262_144, 256, 256, 16
+MAX_SNAPSHOT_BYTES = 16 * 2**20
 # A roster counts its versions; one that told a figure beyond this is no roster.
-FARTHEST, LONGEST_AGE = 2**53, 4e9
+MAX_VERSION, MAX_AGE_MS = 2**53, 4e9
 OPINIONS = ("well", "silent", "refused", "failing")
 
 
-class NoteError(ValueError):
+class FleetMessageError(ValueError):
     """Bytes that are no note of this group."""
 
 
-_Who = tuple[str, int]
+_WitnessWire = tuple[str, int]
 _RecordWire = tuple[
     str,
     str,
@@ -52,7 +52,7 @@
 
 class _Wire(msgspec.Struct, array_like=True):
     kind: int
-    sender: _Who
+    sender: _WitnessWire
     address: str
     digest: int
     version: int
@@ -67,14 +67,14 @@
 
 
 _ENCODER, _DECODER = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(_Wire)
-_FILES = msgspec.msgpack.Decoder(_File)
+_FILE_DECODER = msgspec.msgpack.Decoder(_File)
 
 
-def _out(now: float, record: Record) -> tuple:
+def _encode_record(now: float, record: Record) -> tuple:
     return (
         *record.process,
         -1.0 if record.born is None else max(0.0, now - record.born),
-        [(*who, int(word.course), word.version, word.source) for who, word in record.words.items()],
+        [(*who, int(claim.course), claim.version, claim.source) for who, claim in record.claims.items()],
         [
             (*who, one.version, one.source, int(one.listed), one.zone, one.kind, one.cell, one.size)
             for who, one in record.listings.items()
@@ -86,58 +86,61 @@
     )
 
 
-def _in(now: float, told: _RecordWire) -> Record:
-    address, boot, age, words, listings, opinions = told
+def _decode_record(now: float, wire: _RecordWire) -> Record:
+    address, boot, age, claims, listings, opinions = wire
     texts = [
         address,
         boot,
-        *(w[0] for w in words),
-        *(w[4] for w in words),
+        *(claim[0] for claim in claims),
+        *(claim[4] for claim in claims),
         *(one[0] for one in listings),
         *(text for one in listings for text in (one[3], *one[5:8])),
         *(one[0] for one in opinions),
         *(one[4] for one in opinions),
     ]
-    whole = (
-        [n for w in words for n in (w[1], w[3])]
+    integers = (
+        [n for claim in claims for n in (claim[1], claim[3])]
         + [n for one in listings for n in one[1:3]]
         + [n for one in opinions for n in one[1:3]]
     )
     ages = [one[5] for one in opinions] + ([age] if age != -1.0 else [])
     if (
         not address
-        or max(map(len, texts)) > LONGEST
-        or any(not 0 <= n <= 2**62 for n in whole)
-        or any(not 0 <= one <= LONGEST_AGE for one in ages)
-        or len(words) > MOST_WORDS
-        or any(one[2] > FARTHEST for one in listings)
-        or any(w[3] > FARTHEST for w in words)
-        or len(listings) > MOST_LISTINGS
-        or len(opinions) > MOST_OPINIONS
+        or max(map(len, texts)) > MAX_TEXT_LENGTH
+        or any(not 0 <= n <= 2**62 for n in integers)
+        or any(not 0 <= one <= MAX_AGE_MS for one in ages)
+        or len(claims) > MAX_CLAIMS
+        or any(one[2] > MAX_VERSION for one in listings)
+        or any(claim[3] > MAX_VERSION for claim in claims)
+        or len(listings) > MAX_LISTINGS
+        or len(opinions) > MAX_OPINIONS
         or not all(math.isfinite(one[8]) and 0 < one[8] < 1e9 for one in listings)
     ):
-        raise NoteError("a name, figure or list of a record out of bounds")
+        raise FleetMessageError("a name, figure or list of a record out of bounds")
     try:
         return Record(
             (address, boot),
-            {(name, start): Word(Course(course), version, source) for name, start, course, version, source in words},
+            {
+                (name, start): CourseClaim(Course(course), version, source)
+                for name, start, course, version, source in claims
+            },
             {
                 (name, start): Listing(version, source, Listed(listed), zone, kind, cell, size)
                 for name, start, version, source, listed, zone, kind, cell, size in listings
             },
             {
-                (name, start): Opinion(count, _kind(kind), zone, now - old)
+                (name, start): Opinion(count, _opinion_kind(kind), zone, now - old)
                 for name, start, count, kind, zone, old in opinions
             },
             None if age == -1.0 else now - age,
         )
-    except ValueError as problem:
-        raise NoteError(str(problem)) from None
+    except ValueError as error:
+        raise FleetMessageError(str(error)) from None
 
 
-def _kind(number: int) -> str:
+def _opinion_kind(number: int) -> str:
     if not 0 <= number < len(OPINIONS):
-        raise NoteError("a kind of opinion out of bounds")
+        raise FleetMessageError("a kind of opinion out of bounds")
     return OPINIONS[number]
 
 
@@ -148,77 +151,77 @@
         self.key = hashlib.blake2b(f"{group}\0{mark}\0fleet".encode(), digest_size=32).digest()
 
     def _sealed(self, data: bytes | memoryview) -> bytes:
-        return hashlib.blake2b(data, digest_size=SEAL, key=self.key).digest()
+        return hashlib.blake2b(data, digest_size=SEAL_BYTES, key=self.key).digest()
 
-    def encode(self, now: float, note: Note) -> bytes:
+    def encode(self, now: float, message: FleetMessage) -> bytes:
         data = _ENCODER.encode(
             _Wire(
-                KINDS.index(note.kind),
-                note.sender,
-                note.address,
-                note.digest,
-                note.version,
-                [_out(now, record) for record in note.records],
-                list(note.marks),
-                list(note.buckets),
+                KINDS.index(message.kind),
+                message.sender,
+                message.address,
+                message.digest,
+                message.version,
+                [_encode_record(now, record) for record in message.records],
+                list(message.bucket_digests),
+                list(message.buckets),
             )
         )
         return self._sealed(data) + data
 
-    def decode(self, now: float, data: bytes) -> Note:
+    def decode(self, now: float, data: bytes) -> FleetMessage:
         """Raises NoteError."""
-        if not SEAL < len(data) <= MOST_BYTES:
-            raise NoteError(f"expected {SEAL + 1} to {MOST_BYTES} bytes, got {len(data)}")
-        if not hmac.compare_digest(self._sealed(data[SEAL:]), data[:SEAL]):
-            raise NoteError("not of this group: another name or mark, or changed on the way")
+        if not SEAL_BYTES < len(data) <= MAX_MESSAGE_BYTES:
+            raise FleetMessageError(f"expected {SEAL_BYTES + 1} to {MAX_MESSAGE_BYTES} bytes, got {len(data)}")
+        if not hmac.compare_digest(self._sealed(data[SEAL_BYTES:]), data[:SEAL_BYTES]):
+            raise FleetMessageError("not of this group: another name or mark, or changed on the way")
         try:
-            found: Any = _DECODER.decode(data[SEAL:])
-        except (msgspec.DecodeError, RecursionError) as problem:
-            raise NoteError(f"expected a note: {problem}") from None
+            decoded: Any = _DECODER.decode(data[SEAL_BYTES:])
+        except (msgspec.DecodeError, RecursionError) as error:
+            raise FleetMessageError(f"expected a note: {error}") from None
         if (
-            not 0 <= found.kind < len(KINDS)
-            or len(found.records) > MOST_RECORDS
-            or len(found.marks) > 64
-            or not 0 <= found.digest < 2**64
-            or not 0 <= found.version <= FARTHEST
-            or not 0 < len(found.sender[0]) <= LONGEST
-            or not 0 <= found.sender[1] <= 2**62
-            or not 0 < len(found.address) <= LONGEST
-            or len(found.buckets) > 64
-            or any(not 0 <= bucket < 64 for bucket in found.buckets)
+            not 0 <= decoded.kind < len(KINDS)
+            or len(decoded.records) > MAX_RECORDS
+            or len(decoded.marks) > 64
+            or not 0 <= decoded.digest < 2**64
+            or not 0 <= decoded.version <= MAX_VERSION
+            or not 0 < len(decoded.sender[0]) <= MAX_TEXT_LENGTH
+            or not 0 <= decoded.sender[1] <= 2**62
+            or not 0 < len(decoded.address) <= MAX_TEXT_LENGTH
+            or len(decoded.buckets) > 64
+            or any(not 0 <= bucket < 64 for bucket in decoded.buckets)
         ):
-            raise NoteError("a kind, number or list out of bounds")
-        return Note(
-            KINDS[found.kind],
-            tuple(found.sender),
-            found.address,
-            found.digest,
-            found.version,
-            tuple(_in(now, record) for record in found.records),
-            tuple(found.marks),
-            tuple(found.buckets),
+            raise FleetMessageError("a kind, number or list out of bounds")
+        return FleetMessage(
+            KINDS[decoded.kind],
+            tuple(decoded.sender),
+            decoded.address,
+            decoded.digest,
+            decoded.version,
+            tuple(_decode_record(now, record) for record in decoded.records),
+            tuple(decoded.marks),
+            tuple(decoded.buckets),
         )
 
     def snapshot(self, now: float, wall: float, records: list[Record]) -> bytes:
         """`wall`: ms since 1970 by the machine's clock, only to tell the age of the file."""
-        body = _ENCODER.encode(_File(wall, [_out(now, replace(record, opinions={})) for record in records]))
+        body = _ENCODER.encode(_File(wall, [_encode_record(now, replace(record, opinions={})) for record in records]))
         return self._sealed(body) + zlib.crc32(body).to_bytes(4, "big") + body
 
     def restored(self, now: float, wall: float, data: bytes) -> tuple[list[Record], float]:
         """(records, age of the file in ms). Raises NoteError, also for one that was written later than now."""
         if (
-            len(data) > MOST_SNAPSHOT
-            or len(data) < SEAL + 4
-            or (zlib.crc32(data[SEAL + 4 :]).to_bytes(4, "big") != data[SEAL : SEAL + 4])
+            len(data) > MAX_SNAPSHOT_BYTES
+            or len(data) < SEAL_BYTES + 4
+            or (zlib.crc32(data[SEAL_BYTES + 4 :]).to_bytes(4, "big") != data[SEAL_BYTES : SEAL_BYTES + 4])
         ):
-            raise NoteError("cut off, changed, or no snapshot at all")
-        if not hmac.compare_digest(self._sealed(data[SEAL + 4 :]), data[:SEAL]):
-            raise NoteError("of another group")
+            raise FleetMessageError("cut off, changed, or no snapshot at all")
+        if not hmac.compare_digest(self._sealed(data[SEAL_BYTES + 4 :]), data[:SEAL_BYTES]):
+            raise FleetMessageError("of another group")
         try:
-            found = _FILES.decode(data[SEAL + 4 :])
-        except (msgspec.DecodeError, RecursionError) as problem:
-            raise NoteError(f"expected a snapshot: {problem}") from None
-        age = wall - found.written_at
-        if not 0 <= age <= LONGEST_AGE:
-            raise NoteError("written at a time that has not come")
-        return [_in(now - age, record) for record in found.records], age
+            decoded = _FILE_DECODER.decode(data[SEAL_BYTES + 4 :])
+        except (msgspec.DecodeError, RecursionError) as error:
+            raise FleetMessageError(f"expected a snapshot: {error}") from None
+        age = wall - decoded.written_at
+        if not 0 <= age <= MAX_AGE_MS:
+            raise FleetMessageError("written at a time that has not come")
+        return [_decode_record(now - age, record) for record in decoded.records], age
--- a/sprucespool/fleet/notes.py
+++ b/sprucespool/fleet/messages.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class FleetMessage:
     """`address`: where the sender is reached. `version`: of its own roster, 0 where it has none that lives."""
 
     kind: str
@@ -21,7 +21,7 @@
     digest: int
     version: int = 0
     records: tuple[Record, ...] = ()
-    marks: tuple[int, ...] = ()
+    bucket_digests: tuple[int, ...] = ()
     buckets: tuple[int, ...] = ()
 
 
@@ -30,11 +30,11 @@
     """Send the note to the controller at `to`. Nobody waits for it to arrive."""
 
     to: str
-    note: Note
+    message: FleetMessage
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class RosterRow:
     """A row of the own roster. `gone` where it says so of the process; `age` where it tells."""
 
     process: Process
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class InvokerState:
     """What is to be known of an address from now on. `status`: in service, draining or gone. `born`: when the process
     started, ms of this controller's clock."""
 
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Doubt:
+class Suspicion:
     """Others cannot reach the invoker, as seen from here (`ill`), or no longer say so."""
 
     address: str
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Happened:
+class FleetEvent:
     """`kind`: started, draining, gone, unlisted; unreachable, reachable, panic, calm; behind, back, contradiction (of
     rosters); distrusted (a witness)."""
 
--- a/sprucespool/fleet/opinions.py
+++ b/sprucespool/fleet/opinions.py
@@ -8,7 +8,7 @@
 from sprucespool.fleet.records import Course, Process, Record, Witness
 from sprucespool.fleet.view import View
 
-BAD = ("silent", "refused", "failing")
+BAD_KINDS = ("silent", "refused", "failing")
 
 
 @dataclass(frozen=True, slots=True)
@@ -16,60 +16,73 @@
     """`observers`: controllers that must agree; `most_out`: the part of a zone that opinions may set aside."""
 
     observers: int = 2
-    most_out: float = 0.5
-    fresh: float = 15_000.0
+    max_excluded_share: float = 0.5
+    opinion_lifetime: float = 15_000.0
 
 
 @dataclass(frozen=True, slots=True)
-class Judged:
+class Assessment:
     """Processes to be left aside as seen from a zone, by why; `panic`: zones in which so many would be out that all
     are in again."""
 
-    out: dict[Process, str]
+    excluded: dict[Process, str]
     panic: tuple[str, ...]
 
 
-def _why(now: float, record: Record, zone: str, limits: OpinionLimits, believed: Callable[[Witness], bool]) -> str:
+def _exclusion_reason(
+    now: float, record: Record, zone: str, limits: OpinionLimits, believed: Callable[[Witness], bool]
+) -> str:
     """Why the process is to be left aside as seen from the zone; empty if it is not."""
-    fresh = [one for one in record.opinions.items() if now - one[1].at < limits.fresh and believed(one[0])]
+    fresh = [one for one in record.opinions.items() if now - one[1].at < limits.opinion_lifetime and believed(one[0])]
     near = [one for one in fresh if one[1].zone == zone] or fresh
-    bad = {observer[0] for observer, opinion in near if opinion.kind in BAD}
+    bad = {observer[0] for observer, opinion in near if opinion.kind in BAD_KINDS}
     well = {observer[0] for observer, opinion in near if opinion.kind == "well"}
     if len(bad) >= limits.observers and len(bad) > len(well):
         return f"{', '.join(sorted(bad)[:4])} can't reach it"
     return ""
 
 
-def _settled(out: dict[Process, str], where: dict[Process, str], size: dict[str, int], most_out: float) -> Judged:
-    lost: dict[str, int] = {}
-    for process in out:
-        lost[where[process]] = lost.get(where[process], 0) + 1
-    panic = tuple(sorted(name for name, count in lost.items() if count > most_out * size.get(name, 0)))
-    return Judged({process: why for process, why in out.items() if where[process] not in panic}, panic)
-
-
-def judged(
+def _limited(
+    excluded: dict[Process, str],
+    zone_by_process: dict[Process, str],
+    zone_sizes: dict[str, int],
+    max_excluded_share: float,
+) -> Assessment:
+    excluded_by_zone: dict[str, int] = {}
+    for process in excluded:
+        excluded_by_zone[zone_by_process[process]] = excluded_by_zone.get(zone_by_process[process], 0) + 1
+    panic = tuple(
+        sorted(name for name, count in excluded_by_zone.items() if count > max_excluded_share * zone_sizes.get(name, 0))
+    )
+    return Assessment(
+        {process: reason for process, reason in excluded.items() if zone_by_process[process] not in panic}, panic
+    )
+
+
+def assess(
     now: float,
     records: Iterable[Record],
     zone: str,
-    own: set[Process],
+    has_own_evidence: set[Process],
     limits: OpinionLimits,
     believed: Callable[[Witness], bool] = lambda witness: True,
-) -> Judged:
+) -> Assessment:
     """As seen by a controller in `zone`. `own`: processes that this controller's own answers speak for: they outrank
     all that is told. Observers of the own zone count; where the zone has none for an invoker, those of others do.
     Goes through all records: the slow model of `Weighing`."""
-    out: dict[Process, str] = {}
-    size: dict[str, int] = {}
-    where: dict[Process, str] = {}
+    excluded: dict[Process, str] = {}
+    zone_sizes: dict[str, int] = {}
+    zone_by_process: dict[Process, str] = {}
     for record in records:
         if record.course() is Course.GONE:
             continue
-        where[record.process] = its_zone = _zone_of(record)
-        size[its_zone] = size.get(its_zone, 0) + 1
-        if record.process not in own and (why := _why(now, record, zone, limits, believed)):
-            out[record.process] = why
-    return _settled(out, where, size, limits.most_out)
+        zone_by_process[record.process] = its_zone = _zone_of(record)
+        zone_sizes[its_zone] = zone_sizes.get(its_zone, 0) + 1
+        if record.process not in has_own_evidence and (
+            reason := _exclusion_reason(now, record, zone, limits, believed)
+        ):
+            excluded[record.process] = reason
+    return _limited(excluded, zone_by_process, zone_sizes, limits.max_excluded_share)
 
 
 def _zone_of(record: Record) -> str:
@@ -78,44 +91,44 @@
 
 
 @dataclass(slots=True, eq=False)
-class Weighing:
+class IncrementalAssessment:
     """The same, kept up to date: looks only at processes of which something changed, and at those that own answers
     speak for, as these grow old. At 300 controllers a quarter of all work was to look at all of them anew."""
 
     limits: OpinionLimits
-    out: dict[Process, str] = field(default_factory=dict)
+    excluded: dict[Process, str] = field(default_factory=dict)
     # Others would have them out, own answers speak for them.
-    held: set[Process] = field(default_factory=set)
+    overridden: set[Process] = field(default_factory=set)
 
-    def look(
+    def update(
         self,
         now: float,
         view: View,
         zone: str,
-        own: Callable[[Process], bool],
+        has_own_evidence: Callable[[Process], bool],
         changed: Iterable[Process] | None,
         believed: Callable[[Witness], bool] = lambda witness: True,
-    ) -> Judged:
+    ) -> Assessment:
         """`changed`: processes whose opinions or course changed, or that own answers came from; None: all may have."""
         if changed is None:
-            self.out.clear()
-            self.held.clear()
-            looked_at = set(view.disputed)
+            self.excluded.clear()
+            self.overridden.clear()
+            to_check = set(view.with_opinions)
         else:
-            looked_at = {*changed, *self.held}
+            to_check = {*changed, *self.overridden}
         # In an order that hangs on no hash: what follows is told in it.
-        for process in sorted(looked_at):
+        for process in sorted(to_check):
             record = view.records.get(process)
-            self.out.pop(process, None)
-            self.held.discard(process)
+            self.excluded.pop(process, None)
+            self.overridden.discard(process)
             if record is None or not record.opinions or record.course() is Course.GONE:
                 continue
-            if why := _why(now, record, zone, self.limits, believed):
-                if own(process):
-                    self.held.add(process)
+            if reason := _exclusion_reason(now, record, zone, self.limits, believed):
+                if has_own_evidence(process):
+                    self.overridden.add(process)
                 else:
-                    self.out[process] = why
-        for process in [one for one in self.out if one not in view.records]:
-            del self.out[process]
-        where = {process: _zone_of(view.records[process]) for process in self.out}
-        return _settled(self.out, where, view.zones, self.limits.most_out)
+                    self.excluded[process] = reason
+        for process in [one for one in self.excluded if one not in view.records]:
+            del self.excluded[process]
+        zone_by_process = {process: _zone_of(view.records[process]) for process in self.excluded}
+        return _limited(self.excluded, zone_by_process, view.zones, self.limits.max_excluded_share)
--- a/sprucespool/fleet/records.py
+++ b/sprucespool/fleet/records.py
@@ -23,7 +23,7 @@
 Witness = tuple[str, int]
 # Address and boot; without a boot, whatever process stands at the address.
 Process = tuple[str, str]
-MOST_WORDS, MOST_LISTINGS, MOST_OPINIONS = 4, 3, 16
+MAX_CLAIMS, MAX_LISTINGS, MAX_OPINIONS = 4, 3, 16
 
 
 class Course(IntEnum):
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class Word:
+class CourseClaim:
     """One witness's word that the process drains or is gone. `source` and `version` of the roster that told it; no
     source where the witness saw it with its own eyes."""
 
@@ -90,13 +90,15 @@
     told; None where nobody tells."""
 
     process: Process
-    words: dict[Witness, Word] = field(default_factory=dict)
+    claims: dict[Witness, CourseClaim] = field(default_factory=dict)
     listings: dict[Witness, Listing] = field(default_factory=dict)
     opinions: dict[Witness, Opinion] = field(default_factory=dict)
     born: float | None = None
 
     def course(self, believed: Callable[[Witness], bool] = lambda witness: True) -> Course:
-        return max((word.course for witness, word in self.words.items() if believed(witness)), default=Course.SERVING)
+        return max(
+            (claim.course for witness, claim in self.claims.items() if believed(witness)), default=Course.SERVING
+        )
 
     def listing(self, believed: Callable[[Witness], bool] = lambda witness: True) -> Listing | None:
         """The newest version wins at all."""
@@ -109,8 +111,8 @@
         return self.process, int(self.course()), newest.content if newest else None
 
 
-def _first(found: dict[Witness, Any], most: int, order: Callable[[Any], Any]) -> dict[Witness, Any]:
-    return found if len(found) <= most else dict(sorted(found.items(), key=order, reverse=True)[:most])
+def _keep_first(found: dict[Witness, Any], limit: int, order: Callable[[Any], Any]) -> dict[Witness, Any]:
+    return found if len(found) <= limit else dict(sorted(found.items(), key=order, reverse=True)[:limit])
 
 
 def _union(one: dict[Witness, Any], other: dict[Witness, Any], join: Callable[[Any, Any], Any]) -> dict[Witness, Any]:
@@ -119,49 +121,49 @@
     if not one:
         return other
     found = dict(one)
-    for witness, said in other.items():
-        found[witness] = join(found[witness], said) if witness in found else said
+    for witness, claim in other.items():
+        found[witness] = join(found[witness], claim) if witness in found else claim
     return found
 
 
-def _draw(witness: Witness) -> bytes:
+def _witness_order(witness: Witness) -> bytes:
     # Fixed, and even over names: who speaks for all is not always the first of the alphabet.
     return hashlib.blake2b(f"{witness[0]}\0{witness[1]}".encode(), digest_size=8).digest()
 
 
 def merged(one: Record, other: Record) -> Record:
     """The join of two records of one process."""
-    words = _union(one.words, other.words, max)
+    claims = _union(one.claims, other.claims, max)
     listings = _union(one.listings, other.listings, max)
     opinions = _union(one.opinions, other.opinions, Opinion.later)
     born = min((at for at in (one.born, other.born) if at is not None), default=None)
     return Record(
         one.process,
         # The worst course first: a flood of weaker words drives out no stronger one.
-        _first(words, MOST_WORDS, lambda item: (item[1].course, _draw(item[0]))),
-        _first(listings, MOST_LISTINGS, lambda item: (item[1], _draw(item[0]))),
-        _first(opinions, MOST_OPINIONS, lambda item: _draw(item[0])),
+        _keep_first(claims, MAX_CLAIMS, lambda item: (item[1].course, _witness_order(item[0]))),
+        _keep_first(listings, MAX_LISTINGS, lambda item: (item[1], _witness_order(item[0]))),
+        _keep_first(opinions, MAX_OPINIONS, lambda item: _witness_order(item[0])),
         born,
     )
 
 
-def adds(held: Record, told: Record) -> bool:
+def adds_information(held: Record, received: Record) -> bool:
     """Whether the telling says more than is held, but for whose word it is once two give theirs: the look before a
     join, without which hundreds of witnesses of one row would cost hundreds of joins."""
-    words, listings, opinions = held.words, held.listings, held.opinions
-    if told.born is not None and held.born is None:
+    claims, listings, opinions = held.claims, held.listings, held.opinions
+    if received.born is not None and held.born is None:
         return True
-    if told.words:
+    if received.claims:
         course = held.course()
-        two = sum(word.course is course for word in words.values()) >= 2
-        if any(word.course > course or not two and who not in words for who, word in told.words.items()):
+        two = sum(claim.course is course for claim in claims.values()) >= 2
+        if any(claim.course > course or not two and who not in claims for who, claim in received.claims.items()):
             return True
-    if told.listings:
+    if received.listings:
         newest = held.listing()
         if newest is None:
             return True
         two = sum(one.content == newest.content for one in listings.values()) >= 2
-        for who, one in told.listings.items():
+        for who, one in received.listings.items():
             if (
                 one.version > newest.version
                 or one.content != newest.content
@@ -169,10 +171,10 @@
                 or (not two and who not in listings)
             ):
                 return True
-    return any(who not in opinions or one.count > opinions[who].count for who, one in told.opinions.items())
+    return any(who not in opinions or one.count > opinions[who].count for who, one in received.opinions.items())
 
 
-def mark(record: Record) -> int:
+def record_digest(record: Record) -> int:
     """64 bits of a record's content."""
     text = repr(record.content)
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest(), "big")
--- a/sprucespool/fleet/view.py
+++ b/sprucespool/fleet/view.py
@@ -10,11 +10,11 @@
 from collections import deque
 from dataclasses import dataclass, field, replace
 
-from sprucespool.fleet.records import Course, Process, Record, mark, merged
+from sprucespool.fleet.records import Course, Process, Record, merged, record_digest
 
 BUCKETS = 32
 # How finely lapsing is told apart.
-STEP = 250.0
+LAPSE_STEP_MS = 250.0
 
 
 def bucket_of(process: Process) -> int:
@@ -25,33 +25,33 @@
 class View:
     """Bounded by expiry and by `most`: a gone process is remembered so long that no old word revives it."""
 
-    remember: float = 600_000.0
-    lapse: float = 15_000.0
-    most: int = 20_000
+    remember_gone: float = 600_000.0
+    opinion_lifetime: float = 15_000.0
+    max_records: int = 20_000
     records: dict[Process, Record] = field(default_factory=dict)
     by_address: dict[str, set[str]] = field(default_factory=dict)
     # Records with an opinion that has not lapsed; processes not gone, by zone.
-    disputed: dict[Process, None] = field(default_factory=dict)
+    with_opinions: dict[Process, None] = field(default_factory=dict)
     zones: dict[str, int] = field(default_factory=dict)
-    marks: list[int] = field(default_factory=lambda: [0] * BUCKETS)
+    bucket_digests: list[int] = field(default_factory=lambda: [0] * BUCKETS)
     buckets: list[dict[Process, None]] = field(default_factory=lambda: [{} for _ in range(BUCKETS)])
     digest: int = 0
-    _marked: dict[Process, int] = field(default_factory=dict)
+    _digests: dict[Process, int] = field(default_factory=dict)
     # In the order of their going; opinions by the step in which the oldest of a record lapses.
     _gone: deque[tuple[float, Process]] = field(default_factory=deque)
-    _lapsing: dict[int, set[Process]] = field(default_factory=dict)
+    _lapsing_by_step: dict[int, set[Process]] = field(default_factory=dict)
     _next_lapse: int = 2**62
 
-    def join(self, now: float, told: Record) -> tuple[Record | None, Record | None]:
+    def join(self, now: float, received: Record) -> tuple[Record | None, Record | None]:
         """(what was held, what is held now); the same object twice where it told nothing new, None twice where there
         is no room."""
-        found = self.records.get(told.process)
+        found = self.records.get(received.process)
         if found is None:
-            if len(self.records) >= self.most:
+            if len(self.records) >= self.max_records:
                 return None, None
-            new = merged(Record(told.process), told)
+            new = merged(Record(received.process), received)
         else:
-            new = merged(found, told)
+            new = merged(found, received)
             if new == found:
                 return found, found
         self._put(now, found, new)
@@ -64,25 +64,25 @@
             self.by_address.setdefault(process[0], set()).add(process[1])
             self.buckets[bucket_of(process)][process] = None
         if old is None or old.content != new.content:
-            self._mark(process, mark(new))
-            self._zone(old, -1)
-            self._zone(new, 1)
+            self._set_digest(process, record_digest(new))
+            self._count_zone(old, -1)
+            self._count_zone(new, 1)
             if new.course() is Course.GONE and (old is None or old.course() is not Course.GONE):
                 self._gone.append((now, process))
         if new.opinions:
-            self.disputed[process] = None
+            self.with_opinions[process] = None
             if old is None or old.opinions != new.opinions:
-                self._lapse_at(min(opinion.at for opinion in new.opinions.values()) + self.lapse, process)
+                self._lapse_at(min(opinion.at for opinion in new.opinions.values()) + self.opinion_lifetime, process)
         else:
-            self.disputed.pop(process, None)
+            self.with_opinions.pop(process, None)
 
-    def _mark(self, process: Process, new: int):
-        change = self._marked.get(process, 0) ^ new
-        self.marks[bucket_of(process)] ^= change
+    def _set_digest(self, process: Process, new: int):
+        change = self._digests.get(process, 0) ^ new
+        self.bucket_digests[bucket_of(process)] ^= change
         self.digest ^= change
-        self._marked[process] = new
+        self._digests[process] = new
 
-    def _zone(self, record: Record | None, by: int):
+    def _count_zone(self, record: Record | None, by: int):
         if record is None or record.course() is Course.GONE:
             return
         listing = record.listing()
@@ -92,44 +92,44 @@
             del self.zones[zone]
 
     def _lapse_at(self, at: float, process: Process):
-        step = int(at // STEP) + 1
-        self._lapsing.setdefault(step, set()).add(process)
+        step = int(at // LAPSE_STEP_MS) + 1
+        self._lapsing_by_step.setdefault(step, set()).add(process)
         self._next_lapse = min(self._next_lapse, step)
 
     def next_due(self) -> float:
         """When `sweep` has something to do."""
-        due = self._gone[0][0] + self.remember if self._gone else float("inf")
-        return min(due, self._next_lapse * STEP) if self._lapsing else due
+        due = self._gone[0][0] + self.remember_gone if self._gone else float("inf")
+        return min(due, self._next_lapse * LAPSE_STEP_MS) if self._lapsing_by_step else due
 
     def sweep(self, now: float) -> list[Process]:
         """Opinions lapse, gone processes are forgotten in the end; gives those whose opinions changed."""
-        while self._gone and now - self._gone[0][0] >= self.remember:
+        while self._gone and now - self._gone[0][0] >= self.remember_gone:
             self._forget(self._gone.popleft()[1])
-        if not self._lapsing or self._next_lapse * STEP > now:
+        if not self._lapsing_by_step or self._next_lapse * LAPSE_STEP_MS > now:
             return []
         changed = []
-        for step in [step for step in self._lapsing if step * STEP <= now]:
-            for process in sorted(self._lapsing.pop(step)):
+        for step in [step for step in self._lapsing_by_step if step * LAPSE_STEP_MS <= now]:
+            for process in sorted(self._lapsing_by_step.pop(step)):
                 record = self.records.get(process)
                 if record is None:
                     continue
-                fresh = {who: one for who, one in record.opinions.items() if now - one.at < self.lapse}
+                fresh = {who: one for who, one in record.opinions.items() if now - one.at < self.opinion_lifetime}
                 if len(fresh) < len(record.opinions):
                     self._put(now, record, replace(record, opinions=fresh))
                     changed.append(process)
                 elif fresh:
-                    self._lapse_at(min(one.at for one in fresh.values()) + self.lapse, process)
-        self._next_lapse = min(self._lapsing, default=2**62)
+                    self._lapse_at(min(one.at for one in fresh.values()) + self.opinion_lifetime, process)
+        self._next_lapse = min(self._lapsing_by_step, default=2**62)
         return changed
 
     def _forget(self, process: Process):
         record = self.records.pop(process, None)
         if record is None:
             return
-        self._mark(process, 0)
-        del self._marked[process], self.buckets[bucket_of(process)][process]
-        self._zone(record, -1)
-        self.disputed.pop(process, None)
+        self._set_digest(process, 0)
+        del self._digests[process], self.buckets[bucket_of(process)][process]
+        self._count_zone(record, -1)
+        self.with_opinions.pop(process, None)
         boots = self.by_address[process[0]]
         boots.discard(process[1])
         if not boots:
@@ -139,5 +139,5 @@
         """All processes remembered at an address, in the order of their names."""
         return [self.records[address, boot] for boot in sorted(self.by_address.get(address, ()))]
 
-    def rows_in(self, buckets: tuple[int, ...]) -> list[Record]:
+    def records_in(self, buckets: tuple[int, ...]) -> list[Record]:
         return [self.records[process] for bucket in buckets for process in self.buckets[bucket]]
--- a/sprucespool/fleet/credit.py
+++ b/sprucespool/fleet/witness_trust.py
@@ -11,11 +11,11 @@
 from sprucespool.fleet.records import Process, Witness
 from sprucespool.learning.trust import SourceRecord
 
-MOST = 1_024
+MAX_ENTRIES = 1_024
 
 
 @dataclass(slots=True, eq=False)
-class Credit:
+class WitnessTrust:
     records: dict[Witness, SourceRecord] = field(default_factory=dict)
     # What each was judged by: one matter counts once, however often it is told.
     judged: dict[Witness, set[tuple[Process, str]]] = field(default_factory=dict)
@@ -24,16 +24,16 @@
     def believed(self, witness: Witness) -> bool:
         return witness not in self.distrusted
 
-    def judge(self, witness: Witness, process: Process, matter: str, right: bool) -> bool:
+    def record_result(self, witness: Witness, process: Process, matter: str, right: bool) -> bool:
         """True if the witness is not believed from now on."""
-        known = self.judged.setdefault(witness, set())
-        if (process, matter) in known:
+        seen = self.judged.setdefault(witness, set())
+        if (process, matter) in seen:
             return False
-        if len(known) >= MOST:
-            known.clear()
-        known.add((process, matter))
+        if len(seen) >= MAX_ENTRIES:
+            seen.clear()
+        seen.add((process, matter))
         record = self.records.setdefault(witness, SourceRecord())
-        if len(self.records) > MOST:
+        if len(self.records) > MAX_ENTRIES:
             # Names come from messages: invented ones must not fill the memory.
             old = next(one for one in self.records if one != witness)
             del self.records[old]
--- a/sprucespool/lab/world.py
+++ b/sprucespool/lab/world.py
@@ -22,7 +22,7 @@
 from sprucespool.emulator.library import Fetch, Library, LibraryFacts
 from sprucespool.emulator.plans import Habits, PlanWorld
 from sprucespool.faults import LinkState
-from sprucespool.fleet import Doubt, Place, Told
+from sprucespool.fleet import InvokerState, RosterRow, Suspicion
 from sprucespool.fleet.gateway_inputs import gateway_inputs
 from sprucespool.gateway import Decider, Gateway
 from sprucespool.gateway import messages as ms
@@ -31,9 +31,10 @@
 from sprucespool.judge.group import Faulted
 from sprucespool.membership import Group, GroupLimits
 from sprucespool.policy import Controller
-from sprucespool.settings.controller import ControllerPlan, Place as At, RosterSource, deployment
-from sprucespool.standin.clients import LISTEN_ON
+from sprucespool.settings.controller import ControllerPlan, RosterSource, deployment
+from sprucespool.settings.controller import Place as At
 from sprucespool.standin.badlinks import BadLinks, parted
+from sprucespool.standin.clients import LISTEN_ON
 from sprucespool.standin.invoker import Fault
 from sprucespool.standin.schedule import Schedule, Slot, Step, schedule, worker_facts
 from sprucespool.standin.script import Day
@@ -164,7 +165,7 @@
         self.library_due = math.inf
         self.listed_due = 0.0
         # What the roster said when, to be restored from.
-        self.copies: list[tuple[float, int, dict[str, Told]]] = []
+        self.copies: list[tuple[float, int, dict[str, RosterRow]]] = []
         self.views_kept = day.group is not None and day.group.view
         self.bad_links = BadLinks()
         fleet, told = day.fleet, day.failover
@@ -295,7 +296,7 @@
         inputs, desk.inputs = desk.inputs, []
         desk.gateway.take(self._time(one), inputs)
 
-    def _learned(self, one: Group, places: list[Place], doubts: list[Doubt]):
+    def _learned(self, one: Group, places: list[InvokerState], doubts: list[Suspicion]):
         if not self.views_kept:
             return
         for given in gateway_inputs(places, doubts, self.fleets[one].version, self._time(one)):
@@ -303,10 +304,10 @@
 
     # The roster
 
-    def _row(self, box: Box, gone: bool = False) -> Told:
+    def _row(self, box: Box, gone: bool = False) -> RosterRow:
         row = super()._row(box, gone)
         slot = self.plan.slots[int(box.name[1:])]
-        return Told(
+        return RosterRow(
             row.process, row.listed, gone, box.zone, slot.machines.kind, slot.cell, float(slot.machines.cores), row.age
         )
 
@@ -317,11 +318,11 @@
         self.listed_due = due = max(due, self.listed_due + 0.01)
         self._later(due - self.now, lambda: self._published(box, row))
 
-    def _published(self, box: Box, row: Told):
+    def _published(self, box: Box, row: RosterRow):
         super()._published(box, row)
         self.copies.append((self.now, self.version, dict(self.rows)))
 
-    def _tell(self, one: Group, whole: bool, version: int, rows: list[Told], source: str = "roster"):
+    def _tell(self, one: Group, whole: bool, version: int, rows: list[RosterRow], source: str = "roster"):
         desk = self.desks.get(one)
         if desk is None or not self._reaches(one):
             return
@@ -487,7 +488,7 @@
         tried = desk.tries.get(effect.call)
         if tried is None:
             return self._give(one, ms.ForwardEnded(effect.forward, it.Outcome.NOT_SENT.value))
-        place = self.fleets[one].told.get(effect.invoker)
+        place = self.fleets[one].reported.get(effect.invoker)
         desk.out[effect.forward] = _Out(
             effect.invoker, tried.plan.group, place.zone if place else "", self.now, self.now + effect.time_out
         )
--- a/sprucespool/standin/views.py
+++ b/sprucespool/standin/views.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 from sprucespool.emulator.cases import Liar
-from sprucespool.fleet import Fleet, Note, Process, Record, Send, Told, Witness
+from sprucespool.fleet import Fleet, FleetMessage, Process, Record, RosterRow, Send, Witness
 
 
 class Mute(Fleet):
@@ -16,28 +16,28 @@
         return []
 
     def _push(self) -> list[Send]:
-        self._hurry.clear()
+        self._urgent.clear()
         self._push_at = float("inf")
         return []
 
-    def cargo(self, now: float) -> Note:
-        return self._note("cargo")
+    def piggyback_message(self, now: float) -> FleetMessage:
+        return self._message("cargo")
 
 
 class Deaf(Fleet):
     """(b) Takes nobody's word that a process drains or is gone."""
 
-    def _learn(self, told: Record):
-        super()._learn(replace(told, words={}))
+    def _learn(self, received: Record):
+        super()._learn(replace(received, claims={}))
 
 
 class Clinging(Fleet):
     """(c) Holds on to a process in whose place another stands."""
 
-    def _succeeds(self, process: Process, version: int):
+    def _end_predecessors(self, process: Process, version: int):
         pass
 
-    def _told_boot(self, address: str, boot: str, draining: bool, age: float | None):
+    def _process_seen(self, address: str, boot: str, draining: bool, age: float | None):
         pass
 
     def current(self, address: str) -> Record | None:
@@ -47,14 +47,14 @@
 class Gullible(Fleet):
     """(d) Believes everybody, whatever its own eyes see."""
 
-    def _judged(self, witness: Witness, process: Process, matter: str, right: bool, why: str):
+    def _record_result(self, witness: Witness, process: Process, matter: str, right: bool, why: str):
         pass
 
 
 class LyingSoon(Liar):
     """A liar from its first roster on."""
 
-    def roster(self, now: float, whole: bool, source: str, version: int, rows: Iterable[Told]) -> None:
+    def roster(self, now: float, whole: bool, source: str, version: int, rows: Iterable[RosterRow]) -> None:
         super().roster(now, whole, source, version, rows)
         self.lying = True
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -10,31 +10,31 @@
 from sprucespool.fleet import (
     Codec,
     Course,
+    CourseClaim,
     Fleet,
+    FleetMessage,
+    FleetMessageError,
+    IncrementalAssessment,
     Listed,
     Listing,
-    Note,
-    NoteError,
     Opinion,
     OpinionLimits,
     Peer,
     Record,
-    Told,
+    RosterRow,
     View,
-    Word,
-    judged,
-    Weighing,
+    assess,
     merged,
 )
-from sprucespool.fleet.notes import KINDS
-from sprucespool.fleet.records import adds
+from sprucespool.fleet.messages import KINDS
+from sprucespool.fleet.records import adds_information
 from sprucespool.judge import fleet as seen
 from sprucespool.judge.group import Began
 from sprucespool.standin.views import Clinging, Deaf, Gullible, Mute
 
 FAST = settings(max_examples=200, deadline=None, derandomize=True, database=None)
 WHO = st.tuples(st.sampled_from("cdefgh"), st.integers(1, 2))
-WORD = st.builds(Word, st.sampled_from(Course), st.integers(0, 3), st.sampled_from(["", "r"]))
+WORD = st.builds(CourseClaim, st.sampled_from(Course), st.integers(0, 3), st.sampled_from(["", "r"]))
 LISTING = st.builds(Listing, st.integers(0, 3), st.sampled_from("pq"), st.sampled_from(Listed), st.sampled_from("xy"))
 OPINION = st.builds(
     Opinion,
@@ -74,7 +74,7 @@
 @given(records(), records())
 def test_what_is_passed_over_unread_changes_nothing_that_is_held_alike(one, other):
     one = merged(one, Record(one.process))
-    if not adds(one, other):
+    if not adds_information(one, other):
         assert merged(one, other).content == one.content
 
 
@@ -92,7 +92,7 @@
 def test_a_view_goes_by_its_indexes_as_a_plain_dict_would(steps, chance, zone):
     view, plain, now = View(), {}, 0.0
     limits = OpinionLimits(observers=1)
-    weighing, speaks_for = Weighing(limits), set()
+    assessment, speaks_for = IncrementalAssessment(limits), set()
     for n, (record, after) in enumerate(steps):
         now += after
         record = replace(record, opinions={who: replace(one, at=now - one.at) for who, one in record.opinions.items()})
@@ -102,7 +102,7 @@
         plain[record.process] = merged(held, record)
         plain = {
             process: replace(
-                one, opinions={who: said for who, said in one.opinions.items() if now - said.at < view.lapse}
+                one, opinions={who: said for who, said in one.opinions.items() if now - said.at < view.opinion_lifetime}
             )
             for process, one in plain.items()
         }
@@ -110,26 +110,28 @@
         now_for = [{("b", "1")}, {("b", "1"), ("a", "1")}, {("a", "2")}, set()][n // 3 % 4]
         changed |= now_for - speaks_for
         speaks_for = now_for
-        wanted = judged(now, plain.values(), zone, speaks_for, limits)
-        assert weighing.look(now, view, zone, speaks_for.__contains__, changed) == wanted
-        assert Weighing(limits).look(now, view, zone, speaks_for.__contains__, None) == wanted
+        wanted = assess(now, plain.values(), zone, speaks_for, limits)
+        assert assessment.update(now, view, zone, speaks_for.__contains__, changed) == wanted
+        assert IncrementalAssessment(limits).update(now, view, zone, speaks_for.__contains__, None) == wanted
     there = View()
     shuffled = list(view.records.values())
     chance.shuffle(shuffled)
     for record in shuffled:
         there.join(now, record)
-    assert there.digest == view.digest and there.marks == view.marks
+    assert there.digest == view.digest and there.bucket_digests == view.bucket_digests
 
 
 def test_a_gone_process_is_forgotten_in_the_end_and_opinions_lapse_before():
-    view = View(remember=100_000.0)
-    view.join(0.0, Record(("a", "1"), {("c", 1): Word(Course.GONE)}, opinions={("c", 1): Opinion(1, "silent", "x", 0)}))
+    view = View(remember_gone=100_000.0)
+    view.join(
+        0.0, Record(("a", "1"), {("c", 1): CourseClaim(Course.GONE)}, opinions={("c", 1): Opinion(1, "silent", "x", 0)})
+    )
     assert view.sweep(20_000.0) == [("a", "1")] and view.records["a", "1"].opinions == {}
     assert view.next_due() == 100_000.0
     view.sweep(99_000.0)
     assert ("a", "1") in view.records
     view.sweep(100_000.0)
-    assert not view.records and not view.digest and not any(view.marks) and not view.zones
+    assert not view.records and not view.digest and not any(view.bucket_digests) and not view.zones
 
 
 def served(*bad, zones=("x", "y"), observers=("c", "d"), kind="silent", seen_from="x", count=8):
@@ -143,8 +145,10 @@
 
 
 def out(view, zone="x", own=(), now=1.0, limits=None):
-    found = Weighing(limits or OpinionLimits()).look(now, view, zone, lambda process: process[0] in own, None)
-    return sorted(process[0] for process in found.out), found.panic
+    found = IncrementalAssessment(limits or OpinionLimits()).update(
+        now, view, zone, lambda process: process[0] in own, None
+    )
+    return sorted(process[0] for process in found.excluded), found.panic
 
 
 def test_one_observer_sets_nobody_aside_two_do_and_own_answers_outrank_them():
@@ -175,15 +179,15 @@
 
 
 def rows(*boots, zone="x", listed=Listed.IN_SERVICE):
-    return [Told((f"w{n}", boot), listed, zone=zone, age=1_000.0) for n, boot in enumerate(boots)]
+    return [RosterRow((f"w{n}", boot), listed, zone=zone, age=1_000.0) for n, boot in enumerate(boots)]
 
 
 def status(one):
-    return {address: (place.boot, place.status) for address, place in one.told.items()}
+    return {address: (place.boot, place.status) for address, place in one.reported.items()}
 
 
 def say(one, now, *records, sender="c", version=0, kind="push"):
-    return one.heard(now, Note(kind, (sender, 1), f"at-{sender}", 1, version, records))
+    return one.receive(now, FleetMessage(kind, (sender, 1), f"at-{sender}", 1, version, records))
 
 
 def test_the_roster_alone_is_told_on_as_it_is():
@@ -193,7 +197,7 @@
     one.roster(20.0, True, "r", 3, rows("1"))
     assert status(one) == {"w0": ("1", "draining"), "w1": ("1", "gone")}, "a drain is never taken back for that process"
     one.roster(30.0, False, "r", 4, rows("2"))
-    one.roster(40.0, True, "r", 5, [*rows("2"), Told(("w1", "1"), zone="x")])
+    one.roster(40.0, True, "r", 5, [*rows("2"), RosterRow(("w1", "1"), zone="x")])
     assert status(one) == {"w0": ("2", "in service"), "w1": ("1", "in service")}, "a row left out may come back"
     places, doubts, events = one.take()
     assert [place.address for place in places] == ["w0", "w1"] and not doubts
@@ -203,12 +207,12 @@
 def test_a_fact_told_by_another_counts_at_once_and_a_restart_ends_the_process_before():
     one = controller()
     one.roster(0.0, True, "r", 1, rows("1", "1"))
-    say(one, 5.0, Record(("w0", "1"), {("c", 1): Word(Course.DRAINING)}))
+    say(one, 5.0, Record(("w0", "1"), {("c", 1): CourseClaim(Course.DRAINING)}))
     assert status(one)["w0"] == ("1", "draining")
     say(
         one,
         6.0,
-        Record(("w1", "1"), {("d", 1): Word(Course.GONE)}),
+        Record(("w1", "1"), {("d", 1): CourseClaim(Course.GONE)}),
         Record(("w1", "2"), listings={("d", 1): Listing(1, "r", zone="x")}),
     )
     assert status(one)["w1"] == ("2", "in service")
@@ -227,12 +231,12 @@
     one.ended(6.0, 0, "returned", "2", False, 700.0)
     one.ended(7.0, 1, "returned", "1", True)
     assert status(one) == {"w0": ("2", "in service"), "w1": ("1", "draining")}
-    place = one.told["w0"]
+    place = one.reported["w0"]
     assert place.born == 6.0 - 700.0 and place.zone == "x"
     other = controller("c")
     other.roster(0.0, True, "r", 1, rows("1", "1"))
     for send in one.tick(200.0):
-        other.heard(210.0, send.note)
+        other.receive(210.0, send.message)
     assert status(other) == status(one) and other.digest == one.digest
 
 
@@ -240,11 +244,11 @@
     one, other = controller(), controller("c")
     other.roster(0.0, True, "r", 7, rows(*["1"] * 100))
     assert not one.known
-    sends = one.heard(5.0, other.cargo(4.0))
-    answers = [answer for send in sends for answer in other.heard(6.0, send.note)]
+    sends = one.receive(5.0, other.piggyback_message(4.0))
+    answers = [answer for send in sends for answer in other.receive(6.0, send.message)]
     for answer in answers:
-        one.heard(7.0, answer.note)
-    assert one.digest == other.digest and len(one.told) == 100
+        one.receive(7.0, answer.message)
+    assert one.digest == other.digest and len(one.reported) == 100
 
 
 def test_what_is_ahead_of_a_living_roster_waits_for_its_word_and_not_for_ever():
@@ -252,9 +256,9 @@
     one.roster(0.0, True, "r", 1, rows("1"))
     new = Record(("w9", "1"), listings={("c", 1): Listing(2, "r", zone="x")})
     say(one, 10.0, new)
-    assert "w9" not in one.told
+    assert "w9" not in one.reported
     one.tick(2_900.0)
-    assert "w9" not in one.told
+    assert "w9" not in one.reported
     one.tick(3_200.0)
     assert status(one)["w9"] == ("1", "in service")
     dark = controller()
@@ -265,7 +269,7 @@
 def test_a_roster_that_goes_back_or_contradicts_another_is_named_and_undoes_nothing():
     one = controller()
     one.roster(0.0, True, "r", 5, rows("1", "1"))
-    one.roster(1.0, False, "r", 6, [Told(("w0", "2"), zone="x")])
+    one.roster(1.0, False, "r", 6, [RosterRow(("w0", "2"), zone="x")])
     one.roster(2.0, True, "r", 4, rows("1", "1"))
     assert status(one) == {"w0": ("2", "in service"), "w1": ("1", "in service")}
     other = controller()
@@ -282,10 +286,10 @@
 def test_who_lies_about_what_the_own_roster_shows_is_left_out_and_all_it_said_with_it():
     one = controller()
     one.roster(0.0, True, "r", 5, rows(*["1"] * 12))
-    say(one, 10.0, *[Record((f"w{n}", "1"), {("d", 1): Word(Course.GONE, 5, "r")}) for n in range(4)])
-    assert sum(place.status == "gone" for place in one.told.values()) == 4, "believed at once: one word is enough"
-    say(one, 11.0, Record(("w5", "1"), {("d", 1): Word(Course.GONE, 5, "r")}))
-    assert all(place.status == "in service" for place in one.told.values())
+    say(one, 10.0, *[Record((f"w{n}", "1"), {("d", 1): CourseClaim(Course.GONE, 5, "r")}) for n in range(4)])
+    assert sum(place.status == "gone" for place in one.reported.values()) == 4, "believed at once: one word is enough"
+    say(one, 11.0, Record(("w5", "1"), {("d", 1): CourseClaim(Course.GONE, 5, "r")}))
+    assert all(place.status == "in service" for place in one.reported.values())
     assert [event.by for event in one.take()[2] if event.kind == "distrusted"] == [("d",)]
 
 
@@ -295,10 +299,10 @@
     one.roster_lost(1.0)
     for n in range(8):
         one.sent(5.0, n, f"w{n}")
-    say(one, 10.0, *[Record((f"w{n}", "1"), {("d", 1): Word(Course.GONE)}) for n in range(8)])
+    say(one, 10.0, *[Record((f"w{n}", "1"), {("d", 1): CourseClaim(Course.GONE)}) for n in range(8)])
     for n in range(8):
         one.ended(500.0 + n, n, "returned", "1")
-    assert all(place.status == "in service" for place in one.told.values())
+    assert all(place.status == "in service" for place in one.reported.values())
 
 
 def test_where_a_process_ended_few_ask_for_the_next_one_while_the_roster_is_dark():
@@ -317,13 +321,15 @@
     one.probed(1_100.0, "w0", "1", True, 9_000.0)
     assert status(one)["w0"] == ("1", "draining")
     one.probed(1_700.0, "w0", "2", False, 50.0)
-    assert status(one)["w0"] == ("2", "in service") and one.told["w0"].born == 1_650.0
+    assert status(one)["w0"] == ("2", "in service") and one.reported["w0"].born == 1_650.0
 
 
 def test_nobody_else_speaks_under_a_controllers_own_name():
     one = controller()
     one.roster(0.0, True, "r", 5, rows("1"))
-    said = Record(("w0", "1"), {("me", 1): Word(Course.GONE)}, opinions={("me", 1): Opinion(9, "silent", "x", 0.0)})
+    said = Record(
+        ("w0", "1"), {("me", 1): CourseClaim(Course.GONE)}, opinions={("me", 1): Opinion(9, "silent", "x", 0.0)}
+    )
     say(one, 1.0, said)
     assert status(one)["w0"] == ("1", "in service") and not one.view.records["w0", "1"].opinions
 
@@ -336,10 +342,10 @@
         fleet.tick(300.0)
     one.tick(2_100.0)
     assert not one.take()[1], "one's own eyes are no two observers"
-    notes = [send.note for now in (2_100.0, 2_200.0) for send in other.tick(now)]
+    notes = [send.message for now in (2_100.0, 2_200.0) for send in other.tick(now)]
     assert notes
     for note in notes:
-        one.heard(2_250.0, note)
+        one.receive(2_250.0, note)
     one.tick(2_300.0)
     doubts = one.take()[1]
     assert [(doubt.address, doubt.ill) for doubt in doubts] == [("w0", True)] and "c, me" in doubts[0].why
@@ -354,29 +360,29 @@
     one.roster(0.0, True, "r", 1, rows("1", "1"))
     one.tick(100.0)
     for _ in range(8):
-        one.cargo(150.0)
-    assert not one.cargo(200.0).records
+        one.piggyback_message(150.0)
+    assert not one.piggyback_message(200.0).records
 
     def hear(now, at, *who):
         say(one, now, *[Record(process, opinions={(name, 1): Opinion(1, "silent", "x", at)}) for name in who])
-        return [record.opinions.keys() for send in one.tick(now + 100.0) for record in send.note.records]
+        return [record.opinions.keys() for send in one.tick(now + 100.0) for record in send.message.records]
 
-    assert hear(3_000.0, 2_900.0, "c") == [{("c", 1)}] * min(one.limits.push_to, len(one.peers))
-    (told,) = one.cargo(3_200.0).records
+    assert hear(3_000.0, 2_900.0, "c") == [{("c", 1)}] * min(one.limits.push_fanout, len(one.peers))
+    (told,) = one.piggyback_message(3_200.0).records
     assert told.opinions.keys() == {("c", 1)} and not told.listings, "what is new, not the row"
     for _ in range(8):
-        one.cargo(3_250.0)
-    assert hear(3_300.0, 2_800.0, "c") == [] and not one.cargo(3_500.0).records, "by a quicker way: no news"
+        one.piggyback_message(3_250.0)
+    assert hear(3_300.0, 2_800.0, "c") == [] and not one.piggyback_message(3_500.0).records, "by a quicker way: no news"
     hear(3_600.0, 3_550.0, "d", "e")
     for _ in range(8):
-        one.cargo(3_800.0)
-    assert hear(3_900.0, 3_850.0, "f") == [] and not one.cargo(4_100.0).records, "three of its zone said so"
+        one.piggyback_message(3_800.0)
+    assert hear(3_900.0, 3_850.0, "f") == [] and not one.piggyback_message(4_100.0).records, "three of its zone said so"
     assert hear(10_000.0, 3_900.0, "g") == [], "its owner had the time to say it again"
     assert hear(10_200.0, 10_100.0, "h") != []
 
 
 NOTE = st.builds(
-    Note,
+    FleetMessage,
     st.sampled_from(KINDS),
     st.tuples(st.text(min_size=1, max_size=5), st.integers(0, 2**40)),
     st.text(min_size=1, max_size=9),
@@ -403,7 +409,7 @@
         (codec, data + b"\0" * 300_000),
         (Codec("group", "another"), data),
     ):
-        with pytest.raises(NoteError) as caught:
+        with pytest.raises(FleetMessageError) as caught:
             other.decode(100.0, bad)
         assert str(caught.value)
 
@@ -416,17 +422,17 @@
         replace(good, listings={("c", -1): Listing(1, "r")}),
         replace(good, listings={("c", 1): Listing(2**60, "r")}),
         replace(good, listings={("c", 1): Listing(1, "r", size=float("nan"))}),
-        replace(good, words={("c", n): Word(Course.GONE) for n in range(5)}),
+        replace(good, claims={("c", n): CourseClaim(Course.GONE) for n in range(5)}),
     ):
-        with pytest.raises(NoteError):
-            codec.decode(0.0, codec.encode(0.0, Note("push", ("c", 1), "at", 0, 0, (bad,))))
+        with pytest.raises(FleetMessageError):
+            codec.decode(0.0, codec.encode(0.0, FleetMessage("push", ("c", 1), "at", 0, 0, (bad,))))
 
 
 def test_a_snapshot_is_as_old_as_it_is_and_a_spoilt_one_is_refused():
     codec = Codec("g", "m")
     record = Record(
         ("a", "1"),
-        {("c", 1): Word(Course.DRAINING)},
+        {("c", 1): CourseClaim(Course.DRAINING)},
         {("c", 1): Listing(3, "r")},
         {("c", 1): Opinion(1, "silent", "x", 5.0)},
         40.0,
@@ -435,7 +441,7 @@
     found, age = codec.restored(1_000.0, 9_000.0, data)
     assert age == 4_000.0 and found == [replace(record, opinions={}, born=1_000.0 - 4_000.0 - 60.0)]
     for bad, wall in ((data[:-3], 9_000.0), (data, 4_000.0), (b"", 9_000.0), (data[:30] + b"\1" + data[31:], 9_000.0)):
-        with pytest.raises(NoteError):
+        with pytest.raises(FleetMessageError):
             codec.restored(0.0, wall, bad)
 
 
--- a/tests/test_group_model.py
+++ b/tests/test_group_model.py
@@ -8,7 +8,7 @@
 
 from sprucespool.emulator.explore import explore
 from sprucespool.emulator.models import GroupWorld, SharesWorld, ViewWorld, of_kind
-from sprucespool.fleet import Fleet, Word, records
+from sprucespool.fleet import CourseClaim, Fleet, records
 from sprucespool.membership import Group, State, member_table
 from sprucespool.membership.rows import Row
 from sprucespool.membership.shares import Shares
@@ -190,8 +190,8 @@
         super()._row(row, version, back)
         record = self.view.records.get(row.process)
         if record is not None and not row.gone and row.listed == 0:
-            self.view.records[row.process] = replace(record, words={})
-            self._settle(row.process[0])
+            self.view.records[row.process] = replace(record, claims={})
+            self._report_address(row.process[0])
 
 
 class OldRosterWins(Fleet):
@@ -201,7 +201,7 @@
         super()._row(row, version, False)
         for record in self.view.at(row.process[0]):
             if record.process != row.process:
-                self._say_word(record.process, Word(records.Course.GONE, version, self.source))
+                self._claim_course(record.process, CourseClaim(records.Course.GONE, version, self.source))
 
 
 @pytest.mark.parametrize("kind", [Deaf, Clinging, RevokesReports, OldRosterWins])
@@ -212,8 +212,8 @@
 
 def test_a_merge_where_the_last_one_wins_is_found(monkeypatch):
     def last(one, other):
-        return replace(other, words={**one.words, **other.words}, listings={**one.listings, **other.listings})
+        return replace(other, claims={**one.claims, **other.claims}, listings={**one.listings, **other.listings})
 
     monkeypatch.setattr("sprucespool.fleet.view.merged", last)
-    monkeypatch.setattr("sprucespool.fleet.fleet.adds", lambda held, told: True)
+    monkeypatch.setattr("sprucespool.fleet.fleet.adds_information", lambda held, received: True)
     assert explore(lambda: ViewWorld(2), 6).wrong
