--- a/sprucespool/fleet/__init__.py
+++ b/sprucespool/fleet/__init__.py
@@ -1,6 +1,6 @@
-"""What controllers know of the invokers among themselves: facts that are never taken back, opinions that lapse.
+"""The view of the invokers that controllers share: facts that are never revoked, and opinions that expire.
 
-`Fleet` is one controller's part; `Codec` its notes as bytes. No I/O, no clock.
+`Fleet` is one controller's view; `Codec` encodes its messages and snapshots. No I/O and no clock.
 """
 
 from sprucespool.fleet.codec import Codec, FleetMessageError
--- a/sprucespool/fleet/codec.py
+++ b/sprucespool/fleet/codec.py
@@ -1,7 +1,7 @@
-"""Notes between controllers, and snapshots, as bytes: msgpack, bounded, sealed with the group's name and mark.
+"""Encodes messages between controllers, and snapshots: msgpack, bounded, sealed with the group's name and mark.
 
-Moments travel as ages: the receiver counts back from when it hears. What is no note of this group is refused with what
-was expected.
+Points in time are sent as ages; the receiver subtracts them from its own time of receipt. Data that is not a message
+of this group is refused with an error that says what was expected.
 """
 
 from __future__ import annotations
@@ -30,13 +30,13 @@
 
 MAX_MESSAGE_BYTES, MAX_RECORDS, MAX_TEXT_LENGTH, SEAL_BYTES = 262_144, 256, 256, 16
 MAX_SNAPSHOT_BYTES = 16 * 2**20
-# A roster counts its versions; one that told a figure beyond this is no roster.
+# Rosters count their versions from small numbers, so a larger version is invalid.
 MAX_VERSION, MAX_AGE_MS = 2**53, 4e9
 OPINIONS = ("well", "silent", "refused", "failing")
 
 
 class FleetMessageError(ValueError):
-    """Bytes that are no note of this group."""
+    """The data is not a valid message or snapshot of this group."""
 
 
 _WitnessWire = tuple[str, int]
@@ -145,7 +145,7 @@
 
 
 class Codec:
-    """Of one group; `mark` is what its members share and others do not know. Times are ms of the owner's clock."""
+    """Codec of one group. `mark` is the secret that its members share. Times are in ms of the caller's clock."""
 
     def __init__(self, group: str, mark: str):
         self.key = hashlib.blake2b(f"{group}\0{mark}\0fleet".encode(), digest_size=32).digest()
@@ -169,7 +169,7 @@
         return self._sealed(data) + data
 
     def decode(self, now: float, data: bytes) -> FleetMessage:
-        """Raises NoteError."""
+        """Raises FleetMessageError for invalid data."""
         if not SEAL_BYTES < len(data) <= MAX_MESSAGE_BYTES:
             raise FleetMessageError(f"expected {SEAL_BYTES + 1} to {MAX_MESSAGE_BYTES} bytes, got {len(data)}")
         if not hmac.compare_digest(self._sealed(data[SEAL_BYTES:]), data[:SEAL_BYTES]):
@@ -203,12 +203,12 @@
         )
 
     def snapshot(self, now: float, wall: float, records: list[Record]) -> bytes:
-        """`wall`: ms since 1970 by the machine's clock, only to tell the age of the file."""
+        """`wall`: ms since 1970 by the system clock, used only to tell the age of the file."""
         body = _ENCODER.encode(_File(wall, [_encode_record(now, replace(record, opinions={})) for record in records]))
         return self._sealed(body) + zlib.crc32(body).to_bytes(4, "big") + body
 
     def restored(self, now: float, wall: float, data: bytes) -> tuple[list[Record], float]:
-        """(records, age of the file in ms). Raises NoteError, also for one that was written later than now."""
+        """Returns the records and the file's age in ms. Raises FleetMessageError, also for a file from the future."""
         if (
             len(data) > MAX_SNAPSHOT_BYTES
             or len(data) < SEAL_BYTES + 4
--- a/sprucespool/fleet/fleet.py
+++ b/sprucespool/fleet/fleet.py
@@ -1,7 +1,8 @@
-"""One controller's part of the fleet's view in common: takes what it hears and sees, says what others should know.
+"""One controller's view of the invokers, shared with the other controllers.
 
-No I/O; time and chance handed in. Everything that happens enters by a method with its time; `take` gives what changed:
-places of invokers, doubts of others, events. `cargo` rides on the group's messages; the rest is sent on its own.
+Takes in roster rows, own observations and messages, and decides what to send to others. No I/O; time and the seed of
+random choices are passed in. Every input is a method call with its time; `take` returns what changed: states of
+invokers, suspicions and events. `piggyback_message` goes along with the group's messages; the rest is sent separately.
 """
 
 from __future__ import annotations
@@ -34,35 +35,37 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetLimits:
-    """Times in ms."""
+    """Limits of a view. Times in ms."""
 
     opinions: OpinionLimits = field(default_factory=OpinionLimits)
     silent_after: float = 2_000.0
-    # An own answer so young outranks what others say.
+    # A reply to this controller that is younger than this outranks what others report.
     own_fresh: float = 3_000.0
-    # The own opinion of an invoker changes no more often, and is said again while it holds.
+    # Minimum time between changes of the own opinion of an invoker; interval of repeating it while it holds.
     opinion_min_interval: float = 1_000.0
     opinion_repeat_interval: float = 6_000.0
-    # So many observers of a zone are enough: hundreds that say the same would tell each other of nothing else.
+    # Number of agreeing observers of a zone after which further opinions are not sent: hundreds of observers
+    # with the same opinion would fill all messages with it.
     enough_observers: int = 3
-    # News is sent at once, but what comes within so long goes together; to so many.
+    # Updates are pushed at once, except that those within `push_delay` go together; to `push_fanout` peers.
     push_delay: float = 60.0
     push_fanout: int = 3
     max_processes_per_push: int = 64
-    # How often news rides besides, for each doubling of the group, and how much at once.
+    # How often an update is also piggybacked, per doubling of the group size; processes per message.
     repeats_per_doubling: float = 0.5
     max_processes_per_piggyback: int = 12
-    # Views that differ for so long are compared, no more often than that.
+    # Views that differ for this long are compared, and no more often than this.
     compare_after: float = 700.0
-    # While news goes on coming views differ all the time; what was missed of it is found by a look so often.
+    # During continuous updates views always differ; this interval of comparisons finds what was missed.
     busy_compare_interval: float = 2_000.0
     page_size: int = 48
-    # What another's roster is ahead of a living own one waits so long for the own one's word.
+    # How long a row from a newer version of another's roster waits for the own live roster to confirm it.
     own_roster_wait: float = 3_000.0
-    # An answer so long after the word that a process is gone speaks against the word.
+    # A reply this long after the claim that a process is gone contradicts the claim.
     contradiction_delay: float = 400.0
     check_interval: float = 200.0
-    # While the own roster is dark, so often somebody looks whether another process stands where one ended.
+    # While the own roster is unavailable, interval of probing for a new process where one ended, and the
+    # number of controllers that probe an address.
     probe_interval: float = 600.0
     probers: int = 2
     remember_gone: float = 600_000.0
@@ -70,7 +73,7 @@
 
 @dataclass(slots=True)
 class _OwnRow:
-    """What the own roster last said of a process, since which of its versions."""
+    """What the own roster last said of a process, and since which of its versions."""
 
     listed: Listed
     since: int
@@ -78,8 +81,8 @@
 
 @dataclass(slots=True)
 class _PendingUpdate:
-    """Of a process: how often its words and rows are still to be told, and each observer's opinion; what of these no
-    push has told yet."""
+    """Update of a process still to be sent: how often its claims and rows (`facts`) and each observer's opinion are
+    still to be piggybacked, and which of them no push has sent yet."""
 
     facts: int = 0
     opinions: dict[Witness, int] = field(default_factory=dict)
@@ -91,7 +94,7 @@
         return max(self.facts, max(self.opinions.values(), default=0))
 
     def count_sent(self) -> bool:
-        """Once more; True where all was told often enough."""
+        """Counts one sending. Returns True if everything was sent often enough."""
         self.facts = max(0, self.facts - 1)
         self.opinions = {who: left - 1 for who, left in self.opinions.items() if left > 1}
         return not self.repeats_left
@@ -110,21 +113,21 @@
         self.view = View(self.limits.remember_gone, self.limits.opinions.opinion_lifetime)
         self.observations, self.trust = Observations(self.limits.silent_after), WitnessTrust()
         self.now, self.draws = 0.0, 0
-        # The own roster: living, its name, version, the version from which on nothing was missed, its rows.
+        # The own roster: whether it is live, its name, its version, the version since which no change was missed, rows.
         self.live, self.source, self.version, self.complete_since = False, "", 0, 0
         self.own_rows: dict[Process, _OwnRow] = {}
-        # Versions of their rosters as members tell them.
+        # Versions of the members' rosters as they report them.
         self.versions: dict[Witness, int] = {}
-        # What others' rosters say beyond the own version: told again to `_check` when that has come so far.
+        # Versions in others' claims that are ahead of the own roster: `_check_claims` runs again once it reaches them.
         self.ahead_of_own: dict[tuple[Process, Witness], int] = {}
         self.ahead_since: dict[Process, float] = {}
         self.unconfirmed: deque[tuple[float, Process]] = deque()
         self.reported: dict[str, InvokerState] = {}
         self.suspected: dict[str, str] = {}
         self.panic: tuple[str, ...] = ()
-        # By address: the boot that the invoker itself told this controller.
+        # By address: the boot that the invoker itself reported to this controller.
         self.boots: dict[str, str] = {}
-        # Starts as the own roster or the invoker itself told them: others' word of an earlier one does not count.
+        # Start times from the own roster or the invoker itself; earlier start times reported by others do not count.
         self.born: dict[Process, float] = {}
         self.claimed_at: dict[Process, float] = {}
         self.own_opinions: dict[Process, tuple[Opinion, float]] = {}
@@ -134,7 +137,7 @@
         self._push_at = math.inf
         self._changed_at, self._compared_at = -math.inf, 0.0
         self._check_at = -math.inf
-        # Processes to be weighed anew; all of them where witnesses lost their credit.
+        # Processes to assess again; all of them after a witness became distrusted.
         self.assessment = IncrementalAssessment(self.limits.opinions)
         self._to_assess: dict[Process, None] = {}
         self._assess_all = False
@@ -148,12 +151,12 @@
 
     @property
     def digest(self) -> int:
-        """Equal where two controllers hold the same of the same processes."""
+        """Equal on two controllers that hold the same content for the same processes."""
         return self.view.digest
 
     @property
     def known(self) -> bool:
-        """Something of the fleet is known, whoever told it."""
+        """Whether any invoker is known, from whichever source."""
         return bool(self.reported)
 
     def take(self) -> tuple[list[InvokerState], list[Suspicion], list[FleetEvent]]:
@@ -163,7 +166,7 @@
         return states, suspicions, events
 
     def take_probes(self) -> list[str]:
-        """Addresses to be asked whether they are ready: that is neither an inference nor an order, and no load."""
+        """Returns the addresses to probe for readiness; a probe is no inference and no order, and causes no load."""
         probes, self._probes = self._probes, []
         return probes
 
@@ -172,13 +175,13 @@
         return record.course(self.trust.believed) if record else Course.SERVING
 
     def current(self, address: str) -> Record | None:
-        """The process that stands at the address, as far as is known: one whose own word was heard here first, then
-        by the newest roster."""
+        """Returns the process currently at the address, as far as known: the one that the invoker itself reported, else
+        the one of the newest roster."""
         reported_boot = self.boots.get(address)
         reported_start = self.born.get((address, reported_boot or ""), -math.inf)
 
         def is_older(record: Record) -> bool:
-            # A roster, or a note, that lags: the invoker itself has told of a process that began later.
+            # A roster or message that lags behind: the invoker itself reported a process that started later.
             born = self.born.get(record.process, record.born)
             return record.process[1] not in ("", reported_boot or "") and born is not None and born < reported_start
 
@@ -200,7 +203,7 @@
         return max(found, key=rank, default=None)
 
     def _listing(self, record: Record) -> Listing | None:
-        """The newest, less what a living own roster has yet to confirm."""
+        """Returns the newest row, except rows that a live own roster still has to confirm."""
         listing = record.listing(self.trust.believed)
         if listing is None or not self.live or listing.source != self.source or listing.version <= self.version:
             return listing
@@ -241,7 +244,7 @@
         )
 
     def _report_address(self, address: str):
-        """Tell the user what changed at the address."""
+        """Queues the new state and events if the state of the address changed."""
         state, before = self._state(address), self.reported.get(address)
         if state is None:
             if before is None or before.status == "gone":
@@ -253,7 +256,7 @@
             return
         self.reported[address] = self._states[address] = state
         if before is not None and before.boot != state.boot:
-            self._event("started", (address, state.boot), why=f"in the place of {before.boot or 'one unnamed'}")
+            self._event("started", (address, state.boot), why=f"replaces {before.boot or 'an unnamed process'}")
         elif before is None or state.status == "in service":
             self._event("started", (address, state.boot))
         if state.status == "draining":
@@ -268,27 +271,27 @@
     def _event(self, kind: str, process: Process | None = None, by: tuple[str, ...] = (), why: str = ""):
         self._events.append(FleetEvent(kind, self.now, process, by, why))
 
-    # Chance and time
+    # Random choices and time
 
     def _draw(self, below: int) -> int:
         self.draws += 1
         return zlib.crc32(b"%d:%d:%d" % (self.seed, self.me[1], self.draws)) % below
 
     def _clock(self, now: float) -> float:
-        """Time never goes back here, whatever clock the owner has."""
+        """Keeps time from going backwards, whatever the caller's clock does."""
         self.now = max(self.now, now)
         return self.now
 
-    # The record
+    # Records
 
     def _join(self, received: Record):
-        """Join a record in and do what follows."""
+        """Merges a record into the view and queues the resulting updates."""
         before, after = self.view.join(self.now, received)
         if after is before or after is None:
             return
         process = received.process
         content = before is None or before.content != after.content
-        # A second witness is worth telling, against one that is left out later; a third is not.
+        # A second witness is sent on, because the first may be distrusted later; a third is not.
         facts = (
             content
             or before is None
@@ -314,9 +317,12 @@
         self._report_address(process[0])
 
     def _opinions_to_send(self, before: Record | None, after: Record) -> dict[Witness, None]:
-        """Opinions that are new and that others have a use for: where enough of a zone say so already, one more changes
-        nobody's mind, and one that its owner has had the time to say again is as old as it looks. The same one heard by
-        a quicker way, of an older moment, is no news: when it was, each telling of one set off the next."""
+        """Returns the observers whose opinions are new and useful to others.
+
+        If enough observers of a zone agree already, another one changes nothing; an opinion that its observer should
+        have repeated by now is out of date. An opinion that arrives again with an older time, over a faster route, is
+        not new: when it counted as new, each message about it triggered the next.
+        """
         held = before.opinions if before is not None else {}
         fresh = self.now - self.limits.opinion_repeat_interval
 
@@ -336,7 +342,7 @@
         }
 
     def _claim_listing(self, process: Process, listing: Listing, born: float | None):
-        """State a row under the own name, if it is not held so on the word of two already."""
+        """Claims a roster row as this controller, unless two witnesses already do."""
         record = self.view.records.get(process)
         newest = record.listing(self.trust.believed) if record else None
         if newest is not None and record is not None:
@@ -369,7 +375,7 @@
         self._join(Record(process, listings={self.me: listing}, born=born))
 
     def _claim_course(self, process: Process, claim: CourseClaim):
-        """A fact that this controller was told or saw. Two witnesses are enough."""
+        """Claims a fact that this controller observed or got from its roster, unless two witnesses already do."""
         record = self.view.records.get(process)
         if (
             record is not None
@@ -385,8 +391,11 @@
     # The own roster
 
     def roster(self, now: float, whole: bool, source: str, version: int, rows: Iterable[RosterRow]) -> None:
-        """The own roster told its whole list, or changes. A version that goes back is named, and what it says of
-        rows that others know newer does not count; that a process drains or is gone counts whenever it is heard."""
+        """Takes in the complete list of the own roster, or changes to it.
+
+        A version that goes backwards is reported, and its rows do not replace newer ones from others. That a process
+        drains or is gone counts whenever it is received.
+        """
         self._clock(now)
         back = self.source == source and version < self.version
         if back:
@@ -426,7 +435,7 @@
             self._report_address(address)
 
     def _confirmed_version(self) -> int:
-        """What two members' rosters have reached: one that lies about its version alone moves nothing."""
+        """Returns the roster version that two members have reached, so that a single lying member has no effect."""
         names = {peer.name for peer in self.peers}
         held = sorted(
             (
@@ -454,7 +463,7 @@
         elif listed is Listed.DRAINING:
             self._claim_course(process, CourseClaim(Course.DRAINING, version, self.source))
         if not back or newest is None:
-            # A drain of a named process is a fact beside the row; of one without a boot the row is all there is.
+            # For a process with a boot, draining is a separate claim; without a boot there is only the row.
             shown = listed if not boot or listed is Listed.NOT else Listed.IN_SERVICE
             born = self.now - row.age if row.age is not None else None
             if born is not None:
@@ -466,7 +475,7 @@
             self._end_predecessors(process, version)
 
     def _end_predecessors(self, process: Process, version: int):
-        """A newer row names another process at the address: those before it are gone."""
+        """A newer row names another process at the address, so the earlier ones are gone."""
         for record in self.view.at(process[0]):
             if record.process == process or record.course(self.trust.believed) is Course.GONE:
                 continue
@@ -475,7 +484,7 @@
                 self._claim_course(record.process, CourseClaim(Course.GONE, version, self.source))
 
     def roster_lost(self, now: float) -> None:
-        """The connection to the own roster broke: until it tells its whole list again others' word counts at once."""
+        """The connection to the own roster broke. Until its next complete list, others' rows count at once."""
         self._clock(now)
         if self.live:
             self.live = False
@@ -484,7 +493,7 @@
                 self._report_address(address)
             self.ahead_of_own.clear()
 
-    # Own eyes
+    # Own observations
 
     def sent(self, now: float, number: int, address: str) -> None:
         self.observations.sent(self._clock(now), number, address)
@@ -492,7 +501,7 @@
     def ended(
         self, now: float, number: int, outcome: str, boot: str = "", draining: bool = False, age: float | None = None
     ) -> None:
-        """An own forward ended; `boot`, `draining` and `age` as the invoker itself told with it, if it did."""
+        """An own forward ended. `boot`, `draining` and `age`: as reported by the invoker with its reply, if at all."""
         now = self._clock(now)
         address = self.observations.ended(now, number, outcome)
         if address is None:
@@ -511,7 +520,7 @@
     def _process_seen(self, address: str, boot: str, draining: bool, age: float | None):
         process, unnamed = (address, boot), self.view.records.get((address, ""))
         if unnamed is not None and (listing := self._listing(unnamed)) is not None and listing.listed is not Listed.NOT:
-            return  # a roster that names no processes: its row is all there is to go by
+            return  # the roster names no processes, so its row without a boot decides
         before, self.boots[address] = self.boots.get(address), boot
         if before != boot and self.course(process) is not Course.GONE:
             if age is not None:
@@ -519,7 +528,7 @@
             old = [record for record in self.view.at(address) if record.process != process]
             listing = max((one for record in old if (one := record.listing(self.trust.believed))), default=None)
             if process not in self.view.records and listing is not None:
-                # No roster named it yet: it stands where the one before it stood, of the same kind.
+                # No roster has named it yet: it takes the zone, kind and cell of the process before it.
                 self._join(
                     Record(
                         process,
@@ -535,13 +544,13 @@
             self._claim_course(process, CourseClaim(Course.DRAINING))
 
     def probed(self, now: float, address: str, boot: str, draining: bool, age: float | None) -> None:
-        """An invoker answered a probe and told which process it is."""
+        """An invoker answered a probe and reported which process it is."""
         self._clock(now)
         if boot:
             self._process_seen(address, boot, draining, age)
 
     def _contradict_claims(self, address: str, boot: str, draining: bool):
-        """Own answers outrank all that is told: who said that this process is gone, or drains, was wrong."""
+        """Replies to this controller outrank claims: a witness that claimed the process gone or draining was wrong."""
         for record in self.view.at(address):
             process = record.process
             if (
@@ -552,12 +561,12 @@
             ):
                 continue
             if not boot and len(self.view.at(address)) > 1:
-                continue  # which of them answered is not known
+                continue  # it is unknown which of them replied
             for witness, claim in list(record.claims.items()):
                 wrong = claim.course is Course.GONE or boot and not draining and not claim.source
                 if witness != self.me and wrong:
                     self._record_result(
-                        witness, process, f"said {claim.course.name}", False, "its answers say otherwise"
+                        witness, process, f"said {claim.course.name}", False, "its replies contradict the claim"
                     )
 
     def _record_result(self, witness: Witness, process: Process, matter: str, right: bool, why: str):
@@ -570,7 +579,7 @@
                 self._report_address(address)
 
     def _update_own_opinion(self, record: Record, kind: str):
-        """Say what is seen of the process, if it is bad or takes back what was."""
+        """States the observed opinion of the process if it is bad or replaces an earlier one."""
         now, process = self.now, record.process
         stated, at = self.own_opinions.get(process, (None, -math.inf))
         bad = kind in BAD_KINDS
@@ -606,10 +615,10 @@
         self.own_opinions[process] = opinion, self.now
         self._join(Record(process, opinions={self.me: opinion}))
 
-    # Others
+    # Other controllers
 
     def set_peers(self, peers: list[Peer]) -> None:
-        """The other members that are there."""
+        """Sets the other live members of the group."""
         self.peers = peers
         names = {peer.name for peer in peers}
         self.versions = {witness: one for witness, one in self.versions.items() if witness[0] in names}
@@ -639,10 +648,10 @@
         if mine is not None and not adds_information(mine, received):
             return
         if mine is None and not (received.claims or received.listings):
-            return  # opinions of a process that nobody told of: they come with its row
+            return  # opinions of an unknown process: they are sent again with its row
 
         def without_own(claims: dict, held: dict) -> dict:
-            # Nobody else speaks under this controller's name.
+            # Others must not make claims under this controller's name.
             if self.me in claims and claims[self.me] != held.get(self.me):
                 claims = {witness: one for witness, one in claims.items() if witness != self.me}
             return claims
@@ -657,8 +666,8 @@
                 if self.trust.believed(who)
             },
         )
-        # Opinions of one that is not believed go no further: they change all the time and would flood the group. Its
-        # words and rows do, or views would differ for good.
+        # Opinions of a distrusted witness are dropped: they change all the time and would flood the group. Its claims
+        # and rows are kept, because views would otherwise differ permanently.
         if mine is not None and not adds_information(mine, received):
             return
         self._join(received)
@@ -672,7 +681,7 @@
             self._correct(process)
 
     def _contradict_opinions(self, process: Process, received: Record):
-        """Others say that the invoker does not answer; this controller has just heard from it."""
+        """Corrects reports that an invoker does not answer if it has just replied to this controller."""
         last_reply_at = (
             self.observations.by_address[process[0]].last_reply_at
             if process[0] in self.observations.by_address
@@ -684,13 +693,17 @@
             if self.now - last_reply_at < self.limits.own_fresh:
                 if opinion.zone == self.zone:
                     self._record_result(
-                        witness, process, f"{opinion.kind} {opinion.count // 4}", False, "it was just heard from here"
+                        witness,
+                        process,
+                        f"{opinion.kind} {opinion.count // 4}",
+                        False,
+                        "it just replied to this controller",
                     )
                 record = self.view.records[process]
                 stated, at = self.own_opinions.get(process, (None, -math.inf))
                 well = sum(one.kind == "well" for one in record.opinions.values())
                 bad = sum(one.kind in BAD_KINDS for one in record.opinions.values())
-                # One observer's word sets nobody aside: nothing is to be said against it.
+                # One observer alone excludes no invoker, so its opinion needs no contradiction.
                 if (
                     well < 3
                     and bad >= self.limits.opinions.observers
@@ -699,7 +712,7 @@
                     self._state_opinion(process, "well")
 
     def _check_claims(self, process: Process, witness: Witness):
-        """What a witness says of a roster's version that the own one has seen too."""
+        """Checks the claims of a witness about roster versions that the own roster has reached as well."""
         record = self.view.records.get(process)
         if record is None or not self.live:
             return
@@ -719,16 +732,16 @@
                 continue
             if isinstance(listed, Listed):
                 if own is not None and own.listed is listed:
-                    continue  # all that have a roster repeat it: no credit comes of that
+                    continue  # every controller with a roster repeats it, so it earns no trust
                 right = own is not None or listed is Listed.NOT or record.course() is Course.GONE
                 seen = own is None or own.since > version or (own.listed is Listed.NOT) == (listed is Listed.NOT)
                 right = right and seen
             else:
                 right = own is None or own.since > version or own.listed is not Listed.IN_SERVICE
-            self._record_result(witness, process, f"{version}", right, f"{source} {version} says otherwise here")
+            self._record_result(witness, process, f"{version}", right, f"{source} {version} contradicts the claim here")
 
     def _correct(self, process: Process):
-        """An older row that won for want of this controller's newer one."""
+        """Replaces an older row that says the process is not listed, while the newer own roster lists it."""
         own, record = self.own_rows[process], self.view.records[process]
         newest = record.listing(self.trust.believed)
         if (
@@ -753,7 +766,7 @@
     # Time
 
     def due(self) -> float:
-        """When `tick` is to be called next at the latest."""
+        """Returns when `tick` must be called next at the latest."""
         return min(self._push_at, self._check_at)
 
     def tick(self, now: float) -> list[Send]:
@@ -784,8 +797,11 @@
         return sends
 
     def _choose_probes(self):
-        """Nothing is sent to a process that drains or is gone, so nobody would meet the next one while no roster names
-        it. Few ask each address, drawn alike by all, whatever their number."""
+        """Chooses the addresses that this controller probes for a new process.
+
+        Nothing is sent to a process that drains or is gone, so its successor would stay unknown while no roster names
+        it. A few controllers probe each address, chosen by the same hash everywhere, whatever the group size.
+        """
         names = [peer.name for peer in self.peers] + [self.me[0]]
         for address, state in self.reported.items():
             if state.status == "in service":
@@ -795,7 +811,7 @@
                 self._probes.append(address)
 
     def _repeat_opinions(self, now: float):
-        """A bad opinion that still holds is said again before it lapses."""
+        """Repeats bad opinions that still hold before they expire."""
         for process, (opinion, at) in list(self.own_opinions.items()):
             if now - at < self.limits.opinion_repeat_interval:
                 continue
@@ -842,17 +858,17 @@
                 max_share = f"{self.limits.opinions.max_excluded_share:.0%}"
                 self._event(
                     "panic",
-                    why=f"more than {max_share} of zone {zone or '-'} would be left aside: all of it is in again",
+                    why=f"more than {max_share} of zone {zone or '-'} would be excluded, so none of it is",
                 )
         if self.panic and not found.panic:
-            self._event("calm", why="no zone is doubted as a whole any more")
+            self._event("calm", why="no zone exceeds the share that may be excluded any more")
         self.panic = found.panic
 
     def _recently_replied(self, process: Process) -> bool:
         return self.observations.replied_since(process[0], self.now - self.limits.own_fresh)
 
     def _drop_forgotten(self):
-        """What is kept of processes that are forgotten."""
+        """Drops data about processes that the view has forgotten."""
         for kept in (self.claimed_at, self.own_opinions, self.ahead_since, self.born):
             for process in [one for one in kept if one not in self.view.records]:
                 del kept[process]
@@ -861,13 +877,13 @@
             self.boots.pop(address, None)
             self.observations.forget(address)
 
-    # Saying
+    # Sending
 
     def _message(self, kind: str, records: tuple[Record, ...] = (), **more) -> FleetMessage:
         return FleetMessage(kind, self.me, self.address, self.digest, self.version if self.live else 0, records, **more)
 
     def piggyback_message(self, now: float) -> FleetMessage:
-        """What rides on a message of the group: the digest, and the news told least often."""
+        """Returns the message to piggyback on a group message: the digest and the updates sent least often so far."""
         self._clock(now)
         if not self._pending:
             return self._message("cargo")
@@ -883,7 +899,7 @@
         return self._message("cargo", tuple(rows))
 
     def _unsent_parts(self, process: Process, facts: bool, whose: Iterable[Witness]) -> list[Record]:
-        """What is new of it, and nothing that all have: whole rows made nine tenths of the bytes at a cold start."""
+        """Returns only the new parts of a record: complete rows made up nine tenths of the bytes at a cold start."""
         record = self.view.records.get(process)
         if record is None:
             return []
@@ -937,7 +953,7 @@
         return sends
 
     def _answer_records(self, message: FleetMessage) -> list[Send]:
-        """What this controller has in the told buckets beyond what it was told of them."""
+        """Answers with the records in the given buckets that the sender lacks or holds differently."""
         received = {record.process: record for record in message.records}
         rows = [
             record
@@ -952,11 +968,11 @@
     # Snapshots
 
     def dump(self) -> list[Record]:
-        """All that is worth keeping over a restart; opinions are not."""
+        """Returns the records to keep over a restart, without opinions."""
         return [replace(record, opinions={}) for record in self.view.records.values()]
 
     def restore(self, now: float, records: Iterable[Record]) -> None:
-        """One more source, as old as it is: what is newer wins at all."""
+        """Takes in the records of a snapshot as from any other source; newer information wins."""
         self._clock(now)
         for record in records:
             self._learn(replace(record, opinions={}))
--- a/sprucespool/fleet/gateway_inputs.py
+++ b/sprucespool/fleet/gateway_inputs.py
@@ -1,4 +1,4 @@
-"""What the view of the fleet tells a gateway."""
+"""Converts changes of the fleet view into inputs of a gateway."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 def gateway_inputs(
     states: Iterable[InvokerState], suspicions: Iterable[Suspicion], version: int, now: float
 ) -> list[ms.Input]:
-    """Changes of places as one update of the list of invokers, and each doubt. `now` is of the places' clock (ms)."""
+    """Returns one roster update for all changed states and one input per suspicion. `now`: ms, clock of `born`."""
     rows = [_row(state, now) for state in states]
     inputs: list[ms.Input] = [ms.Roster(it.News.UPDATE.value, version, rows)] if rows else []
     inputs += [ms.Doubted(suspicion.address, suspicion.ill) for suspicion in suspicions]
--- a/sprucespool/fleet/messages.py
+++ b/sprucespool/fleet/messages.py
@@ -1,4 +1,4 @@
-"""What controllers tell each other of the invokers, and what a view tells its user. Plain data; times in ms."""
+"""Messages between controllers about invokers, and the inputs and outputs of a view. Plain data; times in ms."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 from sprucespool.fleet.records import Listed, Process, Record, Witness
 
-# cargo (rides on the group's messages), push (news sent at once), marks (of all buckets), rows (all of mine in
-# `buckets`; answer with what you have beyond), extra (that answer).
+# cargo: piggybacked on the group's messages. push: updates sent at once. marks: the digests of all buckets.
+# rows: all records of the sender in `buckets`, to be answered with the records that it lacks. extra: that answer.
 KINDS = ("cargo", "push", "marks", "rows", "extra")
 
 
 @dataclass(frozen=True, slots=True)
 class FleetMessage:
-    """`address`: where the sender is reached. `version`: of its own roster, 0 where it has none that lives."""
+    """`address`: where the sender can be reached. `version`: version of its own roster, 0 without a live one."""
 
     kind: str
     sender: Witness
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send the note to the controller at `to`. Nobody waits for it to arrive."""
+    """Asks the caller to send the message to the controller at `to`. Delivery is not confirmed."""
 
     to: str
     message: FleetMessage
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RosterRow:
-    """A row of the own roster. `gone` where it says so of the process; `age` where it tells."""
+    """A row of the own roster. `gone`: the roster says that the process has ended. `age`: of the process, if given."""
 
     process: Process
     listed: Listed = Listed.IN_SERVICE
@@ -49,8 +49,8 @@
 
 @dataclass(frozen=True, slots=True)
 class InvokerState:
-    """What is to be known of an address from now on. `status`: in service, draining or gone. `born`: when the process
-    started, ms of this controller's clock."""
+    """The current state of an address. `status`: in service, draining or gone. `born`: when the process started, in
+    ms of this controller's clock."""
 
     address: str
     boot: str
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Suspicion:
-    """Others cannot reach the invoker, as seen from here (`ill`), or no longer say so."""
+    """Starts (`ill`) or ends a suspicion: other controllers report that they cannot reach the invoker."""
 
     address: str
     ill: bool
@@ -73,8 +73,8 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetEvent:
-    """`kind`: started, draining, gone, unlisted; unreachable, reachable, panic, calm; behind, back, contradiction (of
-    rosters); distrusted (a witness)."""
+    """An event for the log. `kind`: started, draining, gone or unlisted; unreachable, reachable, panic or calm; behind,
+    back or contradiction (of rosters); distrusted (a witness)."""
 
     kind: str
     at: float
--- a/sprucespool/fleet/observations.py
+++ b/sprucespool/fleet/observations.py
@@ -1,18 +1,18 @@
-"""What a controller sees of invokers with its own eyes, from its own forwards. No I/O, no clock."""
+"""What a controller observes of invokers through its own forwards. No I/O and no clock."""
 
 from __future__ import annotations
 
 import math
 from dataclasses import dataclass, field
 
-# Values of `interface.Outcome`: with these the invoker itself was heard.
+# Values of `interface.Outcome` that prove a reply from the invoker itself.
 REPLY_OUTCOMES = ("returned", "error", "full", "miss")
 FAILING_AFTER_ERRORS = 5
 
 
 @dataclass(slots=True, eq=False)
 class InvokerObservation:
-    """Of one address. `kind`: what is to be said of it, empty while there is nothing."""
+    """Observation of one address. `kind`: the kind of opinion it supports; empty while there is none."""
 
     last_reply_at: float = -math.inf
     kind: str = ""
@@ -22,12 +22,12 @@
 
 @dataclass(slots=True, eq=False)
 class Observations:
-    """`silent_after`: ms without a word, with a forward out, after which an invoker is called silent; longer than a
-    load takes."""
+    """`silent_after`: ms without a reply to a forward in flight after which an invoker counts as silent. It must be
+    longer than loading a model takes."""
 
     silent_after: float = 2_000.0
     by_address: dict[str, InvokerObservation] = field(default_factory=dict)
-    # Addresses with forwards out, the oldest first.
+    # Forwards in flight by number, oldest first: address and time sent.
     in_flight: dict[int, tuple[str, float]] = field(default_factory=dict)
 
     def sent(self, now: float, number: int, address: str) -> None:
@@ -35,7 +35,7 @@
         self.in_flight[number] = address, now
 
     def ended(self, now: float, number: int, outcome: str) -> str | None:
-        """The forward ended; gives the address."""
+        """Records the outcome of a forward. Returns its address, or None if the forward is unknown."""
         address, at = self.in_flight.pop(number, (None, 0.0))
         if address is None:
             return None
@@ -52,7 +52,7 @@
         return address
 
     def find_silent(self, now: float) -> list[str]:
-        """Addresses that are silent since now, though something is out there."""
+        """Returns the addresses with forwards in flight that have just become silent."""
         found = []
         for address, at in self.in_flight.values():
             if now - at < self.silent_after:
--- a/sprucespool/fleet/opinions.py
+++ b/sprucespool/fleet/opinions.py
@@ -1,4 +1,7 @@
-"""What to make of others' opinions of invokers: they bend choices, never forbid alone, never empty the fleet."""
+"""Evaluates other controllers' opinions of invokers.
+
+Opinions change which invokers are preferred; one observer alone excludes none, and opinions never exclude a whole zone.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,8 @@
 
 @dataclass(frozen=True, slots=True)
 class OpinionLimits:
-    """`observers`: controllers that must agree; `most_out`: the part of a zone that opinions may set aside."""
+    """`observers`: controllers that must agree. `max_excluded_share`: share of a zone that opinions may exclude.
+    `opinion_lifetime`: ms after which an opinion expires."""
 
     observers: int = 2
     max_excluded_share: float = 0.5
@@ -22,8 +26,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Assessment:
-    """Processes to be left aside as seen from a zone, by why; `panic`: zones in which so many would be out that all
-    are in again."""
+    """Excluded processes as seen from a zone, each with the reason. `panic`: zones in which so many processes would be
+    excluded that none are."""
 
     excluded: dict[Process, str]
     panic: tuple[str, ...]
@@ -32,7 +36,7 @@
 def _exclusion_reason(
     now: float, record: Record, zone: str, limits: OpinionLimits, believed: Callable[[Witness], bool]
 ) -> str:
-    """Why the process is to be left aside as seen from the zone; empty if it is not."""
+    """Returns why the process is excluded as seen from the zone; empty if it is not."""
     fresh = [one for one in record.opinions.items() if now - one[1].at < limits.opinion_lifetime and believed(one[0])]
     near = [one for one in fresh if one[1].zone == zone] or fresh
     bad = {observer[0] for observer, opinion in near if opinion.kind in BAD_KINDS}
@@ -63,13 +67,13 @@
     now: float,
     records: Iterable[Record],
     zone: str,
-    has_own_evidence: set[Process],
+    with_own_evidence: set[Process],
     limits: OpinionLimits,
     believed: Callable[[Witness], bool] = lambda witness: True,
 ) -> Assessment:
-    """As seen by a controller in `zone`. `own`: processes that this controller's own answers speak for: they outrank
-    all that is told. Observers of the own zone count; where the zone has none for an invoker, those of others do.
-    Goes through all records: the slow model of `Weighing`."""
+    """Evaluates all records as seen by a controller in `zone`. `with_own_evidence`: processes that have just replied to
+    this controller, which outranks all opinions received. Observers in the own zone count; if an invoker has none
+    there, those of other zones do. Goes through all records: the slow reference of `IncrementalAssessment`."""
     excluded: dict[Process, str] = {}
     zone_sizes: dict[str, int] = {}
     zone_by_process: dict[Process, str] = {}
@@ -78,7 +82,7 @@
             continue
         zone_by_process[record.process] = its_zone = _zone_of(record)
         zone_sizes[its_zone] = zone_sizes.get(its_zone, 0) + 1
-        if record.process not in has_own_evidence and (
+        if record.process not in with_own_evidence and (
             reason := _exclusion_reason(now, record, zone, limits, believed)
         ):
             excluded[record.process] = reason
@@ -92,12 +96,13 @@
 
 @dataclass(slots=True, eq=False)
 class IncrementalAssessment:
-    """The same, kept up to date: looks only at processes of which something changed, and at those that own answers
-    speak for, as these grow old. At 300 controllers a quarter of all work was to look at all of them anew."""
+    """The same result as `assess`, kept up to date: checks only processes that changed, and those overridden by own
+    evidence, because that evidence ages. At 300 controllers, checking all of them each time took a quarter of all
+    processor time."""
 
     limits: OpinionLimits
     excluded: dict[Process, str] = field(default_factory=dict)
-    # Others would have them out, own answers speak for them.
+    # Processes that opinions would exclude but own evidence keeps.
     overridden: set[Process] = field(default_factory=set)
 
     def update(
@@ -109,14 +114,14 @@
         changed: Iterable[Process] | None,
         believed: Callable[[Witness], bool] = lambda witness: True,
     ) -> Assessment:
-        """`changed`: processes whose opinions or course changed, or that own answers came from; None: all may have."""
+        """`changed`: processes with a new opinion, course or reply to this controller; None: any may have changed."""
         if changed is None:
             self.excluded.clear()
             self.overridden.clear()
             to_check = set(view.with_opinions)
         else:
             to_check = {*changed, *self.overridden}
-        # In an order that hangs on no hash: what follows is told in it.
+        # Sorted, because the order of the results must not depend on hashes.
         for process in sorted(to_check):
             record = view.records.get(process)
             self.excluded.pop(process, None)
--- a/sprucespool/fleet/records.py
+++ b/sprucespool/fleet/records.py
@@ -1,14 +1,15 @@
-"""What is known of each process of an invoker, and how two tellings become one. Times are ms of the holder's clock.
-
-A process (address, boot) takes its course: serving, draining, gone, and never back: a fact, for which one honest word
-is enough. Each word stands under the name of its witness, so that one who lies can be left out without taking back what
-others said. A restart needs no order of boots: it is the word that the old process is gone, beside the new one.
-What a roster lists goes by that roster's version. An opinion is one observer's; only that observer renews it, by its
-own count. Each part is a join of its own and each map keeps the first few by a fixed order, so order, grouping and
-repeats of tellings do not matter (`tests/test_fleet.py` proves the laws).
-
-Ages travel, clocks never: who is told counts back from the moment of the telling. Told of one opinion twice, the older
-moment holds, as no way makes evidence younger.
+"""Records of invoker processes and how two of them are merged. Times are in ms of the holder's clock.
+
+A process (address, boot) goes through its course, from serving over draining to gone, and never back. This is a fact,
+and one honest claim is enough for it. Each claim is kept under its witness, so that a lying witness can be ignored
+without revoking the claims of others. A restart needs no ordering of boots: it is a claim that the old process is gone,
+next to a record of the new one. Roster rows are ordered by the version of the roster. An opinion belongs to one
+observer; only that observer renews it, with its own counter. Each field has its own join and each map keeps its first
+few entries in a fixed order, so the order, grouping and repetition of merges do not matter (`tests/test_fleet.py`
+checks these laws).
+
+Messages carry ages and never clock readings: the receiver subtracts the age from its time of receipt. If an opinion
+arrives twice, the older time counts, because no route can make evidence younger.
 """
 
 from __future__ import annotations
@@ -19,9 +20,9 @@
 from enum import IntEnum
 from typing import Any
 
-# Who said it: a controller's name and start.
+# The source of a claim: a controller's name and start time.
 Witness = tuple[str, int]
-# Address and boot; without a boot, whatever process stands at the address.
+# Address and boot; an empty boot means whichever process is at the address.
 Process = tuple[str, str]
 MAX_CLAIMS, MAX_LISTINGS, MAX_OPINIONS = 4, 3, 16
 
@@ -33,7 +34,7 @@
 
 
 class Listed(IntEnum):
-    """What a roster says of a row; `NOT` where its whole list leaves out what it had."""
+    """What a roster says of a row. `NOT`: its complete list no longer contains the row."""
 
     IN_SERVICE = 0
     DRAINING = 1
@@ -42,8 +43,8 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class CourseClaim:
-    """One witness's word that the process drains or is gone. `source` and `version` of the roster that told it; no
-    source where the witness saw it with its own eyes."""
+    """One witness's claim that the process drains or is gone. `source` and `version` name the roster that said so; the
+    source is empty if the witness observed it itself."""
 
     course: Course
     version: int = 0
@@ -52,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Listing:
-    """A roster's row: of which version and source, and what it says."""
+    """A row of a roster with the version and source of that roster."""
 
     version: int
     source: str
@@ -69,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Opinion:
-    """Of one observer, numbered by itself. `kind`: well, silent, refused, failing. `at`: when it was so."""
+    """Opinion of one observer, with its own counter. `kind`: well, silent, refused or failing. `at`: when observed."""
 
     count: int
     kind: str
@@ -77,7 +78,7 @@
     at: float
 
     def later(self, other: Opinion) -> Opinion:
-        """The join: the higher count, else the older moment."""
+        """The join: the higher count wins, then the older time."""
         if self.count != other.count:
             return self if self.count > other.count else other
         one, two = (-self.at, self.kind, self.zone), (-other.at, other.kind, other.zone)
@@ -86,8 +87,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """Of one process. `born`: the earliest moment at which it is said to have started, as each way adds to what is
-    told; None where nobody tells."""
+    """All that is known of one process. `born`: the earliest reported start time, because each hop adds to a reported
+    age; None if not reported."""
 
     process: Process
     claims: dict[Witness, CourseClaim] = field(default_factory=dict)
@@ -101,12 +102,12 @@
         )
 
     def listing(self, believed: Callable[[Witness], bool] = lambda witness: True) -> Listing | None:
-        """The newest version wins at all."""
+        """Returns the row of the newest roster version."""
         return max((one for witness, one in self.listings.items() if believed(witness)), default=None)
 
     @property
     def content(self) -> tuple:
-        """What two controllers must hold alike: who said it, versions and opinions come and go and are left out."""
+        """The part that must be equal on two controllers. Witnesses, versions and opinions vary and are left out."""
         newest = self.listing()
         return self.process, int(self.course()), newest.content if newest else None
 
@@ -127,7 +128,7 @@
 
 
 def _witness_order(witness: Witness) -> bytes:
-    # Fixed, and even over names: who speaks for all is not always the first of the alphabet.
+    # A fixed order that is even over names, so that the witnesses kept are not always the alphabetically first.
     return hashlib.blake2b(f"{witness[0]}\0{witness[1]}".encode(), digest_size=8).digest()
 
 
@@ -139,7 +140,7 @@
     born = min((at for at in (one.born, other.born) if at is not None), default=None)
     return Record(
         one.process,
-        # The worst course first: a flood of weaker words drives out no stronger one.
+        # The worst course first, so that many weaker claims cannot displace a stronger one.
         _keep_first(claims, MAX_CLAIMS, lambda item: (item[1].course, _witness_order(item[0]))),
         _keep_first(listings, MAX_LISTINGS, lambda item: (item[1], _witness_order(item[0]))),
         _keep_first(opinions, MAX_OPINIONS, lambda item: _witness_order(item[0])),
@@ -148,33 +149,38 @@
 
 
 def adds_information(held: Record, received: Record) -> bool:
-    """Whether the telling says more than is held, but for whose word it is once two give theirs: the look before a
-    join, without which hundreds of witnesses of one row would cost hundreds of joins."""
+    """Whether the received record adds to the one held. Further witnesses do not count once two are known.
+
+    Checked before each join: without it, hundreds of witnesses of one row would cost hundreds of joins.
+    """
     claims, listings, opinions = held.claims, held.listings, held.opinions
     if received.born is not None and held.born is None:
         return True
     if received.claims:
         course = held.course()
-        two = sum(claim.course is course for claim in claims.values()) >= 2
-        if any(claim.course > course or not two and who not in claims for who, claim in received.claims.items()):
+        has_two_witnesses = sum(claim.course is course for claim in claims.values()) >= 2
+        if any(
+            claim.course > course or not has_two_witnesses and who not in claims
+            for who, claim in received.claims.items()
+        ):
             return True
     if received.listings:
         newest = held.listing()
         if newest is None:
             return True
-        two = sum(one.content == newest.content for one in listings.values()) >= 2
+        has_two_witnesses = sum(one.content == newest.content for one in listings.values()) >= 2
         for who, one in received.listings.items():
             if (
                 one.version > newest.version
                 or one.content != newest.content
                 and one > newest
-                or (not two and who not in listings)
+                or (not has_two_witnesses and who not in listings)
             ):
                 return True
     return any(who not in opinions or one.count > opinions[who].count for who, one in received.opinions.items())
 
 
 def record_digest(record: Record) -> int:
-    """64 bits of a record's content."""
+    """Returns a 64-bit digest of a record's content."""
     text = repr(record.content)
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest(), "big")
--- a/sprucespool/fleet/view.py
+++ b/sprucespool/fleet/view.py
@@ -1,7 +1,7 @@
-"""All records a controller holds: marks by bucket for comparing, by address, by zone, and by age for what lapses.
+"""All records that a controller holds, indexed by bucket (with digests for comparing), address, zone and expiry.
 
-Made for what is asked of it all the time: which records have opinions at all, how many serve in a zone, what lapses
-next. `opinions.judged` and a sweep over all records are the slow model beside it; `benchmarks/fleet.py` compares them.
+The indexes answer the frequent queries: which records have opinions, how many processes serve in a zone, what expires
+next. `opinions.assess` and a sweep over all records are the slow reference; `benchmarks/fleet.py` compares the two.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from sprucespool.fleet.records import Course, Process, Record, merged, record_digest
 
 BUCKETS = 32
-# How finely lapsing is told apart.
+# Resolution at which the expiry of opinions is tracked.
 LAPSE_STEP_MS = 250.0
 
 
@@ -23,28 +23,29 @@
 
 @dataclass(slots=True)
 class View:
-    """Bounded by expiry and by `most`: a gone process is remembered so long that no old word revives it."""
+    """Bounded by expiry and by `max_records`. A gone process is remembered for `remember_gone` ms, long enough that no
+    delayed message revives it."""
 
     remember_gone: float = 600_000.0
     opinion_lifetime: float = 15_000.0
     max_records: int = 20_000
     records: dict[Process, Record] = field(default_factory=dict)
     by_address: dict[str, set[str]] = field(default_factory=dict)
-    # Records with an opinion that has not lapsed; processes not gone, by zone.
+    # Records with an opinion that has not expired, and the number of processes not gone by zone.
     with_opinions: dict[Process, None] = field(default_factory=dict)
     zones: dict[str, int] = field(default_factory=dict)
     bucket_digests: list[int] = field(default_factory=lambda: [0] * BUCKETS)
     buckets: list[dict[Process, None]] = field(default_factory=lambda: [{} for _ in range(BUCKETS)])
     digest: int = 0
     _digests: dict[Process, int] = field(default_factory=dict)
-    # In the order of their going; opinions by the step in which the oldest of a record lapses.
+    # Gone processes in the order in which they ended; records by the step in which their oldest opinion expires.
     _gone: deque[tuple[float, Process]] = field(default_factory=deque)
     _lapsing_by_step: dict[int, set[Process]] = field(default_factory=dict)
     _next_lapse: int = 2**62
 
     def join(self, now: float, received: Record) -> tuple[Record | None, Record | None]:
-        """(what was held, what is held now); the same object twice where it told nothing new, None twice where there
-        is no room."""
+        """Returns the record held before and the one held now: the same object twice if nothing changed, None twice if
+        there is no room."""
         found = self.records.get(received.process)
         if found is None:
             if len(self.records) >= self.max_records:
@@ -97,12 +98,12 @@
         self._next_lapse = min(self._next_lapse, step)
 
     def next_due(self) -> float:
-        """When `sweep` has something to do."""
+        """Returns when `sweep` next has something to do."""
         due = self._gone[0][0] + self.remember_gone if self._gone else float("inf")
         return min(due, self._next_lapse * LAPSE_STEP_MS) if self._lapsing_by_step else due
 
     def sweep(self, now: float) -> list[Process]:
-        """Opinions lapse, gone processes are forgotten in the end; gives those whose opinions changed."""
+        """Removes expired opinions and long gone processes. Returns the processes whose opinions changed."""
         while self._gone and now - self._gone[0][0] >= self.remember_gone:
             self._forget(self._gone.popleft()[1])
         if not self._lapsing_by_step or self._next_lapse * LAPSE_STEP_MS > now:
@@ -136,7 +137,7 @@
             del self.by_address[process[0]]
 
     def at(self, address: str) -> list[Record]:
-        """All processes remembered at an address, in the order of their names."""
+        """Returns all records at an address, sorted by boot."""
         return [self.records[address, boot] for boot in sorted(self.by_address.get(address, ()))]
 
     def records_in(self, buckets: tuple[int, ...]) -> list[Record]:
--- a/sprucespool/fleet/witness_trust.py
+++ b/sprucespool/fleet/witness_trust.py
@@ -1,7 +1,8 @@
-"""How far each witness is believed, by what became of what it said. No I/O, no clock.
+"""Decides which witnesses are believed, by how many of their claims proved right. No I/O and no clock.
 
-The record is learning's: a witness begins with some credit; one of whose words most proved wrong (five lies at once)
-is left out, under its name and start. A restart is another witness.
+Uses the record of `learning.trust`: a witness starts with some credit, and is no longer believed once most of its
+claims proved wrong (five wrong ones at the start are enough). It is excluded under its name and start time, so a
+restarted controller counts as a new witness.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 @dataclass(slots=True, eq=False)
 class WitnessTrust:
     records: dict[Witness, SourceRecord] = field(default_factory=dict)
-    # What each was judged by: one matter counts once, however often it is told.
+    # Claims already counted, by witness: a claim counts once, however often it is repeated.
     judged: dict[Witness, set[tuple[Process, str]]] = field(default_factory=dict)
     distrusted: set[Witness] = field(default_factory=set)
 
@@ -25,7 +26,7 @@
         return witness not in self.distrusted
 
     def record_result(self, witness: Witness, process: Process, matter: str, right: bool) -> bool:
-        """True if the witness is not believed from now on."""
+        """Counts a claim as right or wrong. Returns True if the witness is distrusted from now on."""
         seen = self.judged.setdefault(witness, set())
         if (process, matter) in seen:
             return False
@@ -34,7 +35,7 @@
         seen.add((process, matter))
         record = self.records.setdefault(witness, SourceRecord())
         if len(self.records) > MAX_ENTRIES:
-            # Names come from messages: invented ones must not fill the memory.
+            # Names come from messages, so invented names must not use up the memory.
             old = next(one for one in self.records if one != witness)
             del self.records[old]
             self.judged.pop(old, None)
--- a/tests/test_fleet_sockets.py
+++ b/tests/test_fleet_sockets.py
@@ -1,5 +1,5 @@
-"""The fleet's view over sockets: processes of `sprucespool serve` and of invokers, faults between them, judged by what
-they told and by what reached the invokers."""
+"""The shared view of the fleet over sockets, with processes of `sprucespool serve` and of invokers and faults between
+them. Judged by the views they report and by what reached the invokers."""
 
 import asyncio
 import json
@@ -17,7 +17,7 @@
 
 pytestmark = pytest.mark.sockets
 
-# Bounds are generous: a machine loaded threefold shall come to the same verdict.
+# The bounds are generous, so that a machine under three times the load comes to the same verdict.
 HEAD = """
 lasts "17s"
 controllers 8
@@ -48,7 +48,7 @@
     "flapping": 'trouble "pauses" at="1s" lasts="8s" share=0.09 span="300ms" every="600ms"\n',
     "dead-unlisted": 'trouble "roster-down" at="1s" lasts="9s"\ntrouble "crash" at="2s" share=0.2 span="4s"\n',
 }
-# Each invariant by a build without what it rests on.
+# Each invariant is checked with a build that lacks what it depends on.
 PUSHED = 'trouble "partition" at="1s" between="roster" and="c1,c2,c3,c4,c5,c6,c7"\n'
 BROKEN = {
     "fleet-a": PUSHED + 'trouble "preempt" at="2s" lasts="500ms" share=0.3 span="8s" every="500ms"\n',
@@ -61,8 +61,8 @@
 def play(folder, name):
     text = f'name "{name}"\n' + HEAD + GROUP.format(liar=0 if name in ("liar", "fleet-d") else -1)
     if name in BROKEN:
-        for word in ("fleet-alike-within", "spread-within", "replaced-within"):
-            text = re.sub(rf'{word}="[0-9]s"', f'{word}="2s"', text)
+        for setting in ("fleet-alike-within", "spread-within", "replaced-within"):
+            text = re.sub(rf'{setting}="[0-9]s"', f'{setting}="2s"', text)
     path = folder / f"{name}.kdl"
     path.write_text(text + {**CASES, **BROKEN}[name])
     if name in BROKEN and name != "fleet-d":
@@ -86,21 +86,24 @@
 
 
 @pytest.mark.parametrize("which", "abc")
-def test_a_build_without_what_an_invariant_rests_on_is_told(days, which):
+def test_a_build_without_what_an_invariant_depends_on_is_reported(days, which):
     found = days[f"fleet-{which}"]
     assert any(one.startswith(f"({which})") for one in found["fleet"]["invariants_broken"]), found
 
 
-def test_a_liar_costs_little_and_much_where_everybody_is_believed(days):
+def test_a_liar_costs_little_unless_every_witness_is_believed(days):
     bounds, honest = seen.FleetBounds(liar_costs=0.15), days["flapping"]["service"]
     assert seen.loss(days["liar"]["service"], honest, bounds) == []
     assert [one.which for one in seen.loss(days["fleet-d"]["service"], honest, bounds)] == ["d"]
 
 
-def test_a_thousand_invokers_told_to_one_are_known_to_all_and_to_a_newcomer_and_the_command_shows_them(tmp_path):
-    def command(*words):
+def test_a_thousand_invokers_reach_all_controllers_and_a_joining_one_and_the_command_shows_them(tmp_path):
+    def command(*arguments):
         return subprocess.run(
-            [sys.executable, "-m", "sprucespool.cli.main", "fleet", *words], capture_output=True, text=True, timeout=60
+            [sys.executable, "-m", "sprucespool.cli.main", "fleet", *arguments],
+            capture_output=True,
+            text=True,
+            timeout=60,
         )
 
     async def script():
@@ -131,8 +134,8 @@
             assert shown.returncode == 0 and "127.0.0.1:20000" in shown.stdout and "in service" in shown.stdout
             same = await loop.run_in_executor(None, command, "--compare", where[0], where[-1])
             assert same.returncode == 0 and "know the same" in same.stdout
-            told = await loop.run_in_executor(None, command, "--json", where[-1])
-            assert len(json.loads(told.stdout)["invokers"]) == 1_000
+            as_json = await loop.run_in_executor(None, command, "--json", where[-1])
+            assert len(json.loads(as_json.stdout)["invokers"]) == 1_000
             rig.part([["c0"], [*names[1:], "late"]])
             rig.rosters["c0"].write_text('invoker "127.0.0.1:20000" zone="z0" kind="k" draining=true\n')
             assert await rig.until(lambda: ("127.0.0.1:20000", "", "draining") in newest["c0"].rows, 30.0) is not None
@@ -140,7 +143,7 @@
             assert differ.returncode == 1 and "127.0.0.1:20000" in differ.stdout
             nobody = await loop.run_in_executor(None, command, "127.0.0.1:1")
             assert nobody.returncode == 3
-            # Every word has its witness.
+            # Every claim is shown with its witness.
             line = next(one for one in (await fetch(where[0])).invokers if one.address == "127.0.0.1:20000")
             assert ("c0", "draining") in [(one.by, one.says) for one in line.said]
 
