--- a/sprucespool/cli/lab.py
+++ b/sprucespool/cli/lab.py
@@ -12,8 +12,8 @@
 from sprucespool.emulator.hunt import Course
 from sprucespool.gateway import Gateway
 from sprucespool.lab.coursedays import MODULE_BUILDS
-from sprucespool.lab.days import Played, begun, ended, sized
 from sprucespool.lab.defects import BUILDS, DEFECTS
+from sprucespool.lab.days import Played, begun, ended, sized
 from sprucespool.lab.hunting import Hunted, hunt, played
 from sprucespool.lab.sweep import SweepPlan, run
 from sprucespool.standin.baselines import DECIDERS, GATEWAYS
--- a/sprucespool/daemon/door.py
+++ b/sprucespool/daemon/door.py
@@ -21,10 +21,10 @@
 from sprucespool.grpc.status import Limits, Metadata, Status
 from sprucespool.policy import Controller
 from sprucespool.settings.controller import ControllerPlan, ModelTable, address, deployment
-from sprucespool.transport.input_batcher import InputBatcher
 from sprucespool.transport.listener import Method, ServerCall, unary
 from sprucespool.transport.plan import PoolLimits
 from sprucespool.transport.pool import CallEvent, Pool, PoolCall, Unconnected
+from sprucespool.transport.input_batcher import InputBatcher
 from sprucespool.wire import inference_pb2 as oip
 from sprucespool.wire import names, outcomes
 from sprucespool.wire import platform_pb2 as platform
--- a/sprucespool/daemon/group.py
+++ b/sprucespool/daemon/group.py
@@ -16,7 +16,7 @@
 from sprucespool.gateway import messages as ms
 from sprucespool.grpc.events import Reset
 from sprucespool.grpc.status import Limits, Metadata, Status
-from sprucespool.membership import About, Codec, Event, Group, GroupLimits, MessageError, Outgoing, Phase, Row, State
+from sprucespool.membership import About, Codec, Event, Group, GroupLimits, MessageError, Phase, Row, Outgoing, State
 from sprucespool.membership.codec import MAX_BYTES
 from sprucespool.settings.controller import ControllerPlan, GroupPlan, loopback
 from sprucespool.transport.listener import Method, ServerCall, unary
--- a/sprucespool/emulator/fleet.py
+++ b/sprucespool/emulator/fleet.py
@@ -471,7 +471,7 @@
         )
 
     def look(self) -> None:
-        """FleetMessage all views for the judge, and how much of the fleet they leave to choose from."""
+        """Note all views for the judge, and how much of the fleet they leave to choose from."""
         serving = {box.address for box in self.boxes.values() if box.up and not box.draining and not box.hung}
         open_to = [len({place.address for place in self._usable(one)} & serving) for one in self.members.values()]
         self.usable.append(sum(open_to) / max(1, len(open_to) * len(serving)))
--- a/sprucespool/fleet/fleet.py
+++ b/sprucespool/fleet/fleet.py
@@ -102,11 +102,15 @@
 
 @dataclass(slots=True)
 class Peer:
+    """Another live controller of the group."""
+
     name: str
     address: str
 
 
 class Fleet:
+    """One controller's view of the invokers. All times are in ms of the caller's clock."""
+
     def __init__(self, me: Witness, address: str, zone: str = "", seed: int = 1, limits: FleetLimits | None = None):
         self.me, self.address, self.zone, self.seed = me, address, zone, seed
         self.limits = limits or FleetLimits()
@@ -122,6 +126,7 @@
         self.ahead_of_own: dict[tuple[Process, Witness], int] = {}
         self.ahead_since: dict[Process, float] = {}
         self.unconfirmed: deque[tuple[float, Process]] = deque()
+        # Last reported state by address; the reason of each current suspicion by address.
         self.reported: dict[str, InvokerState] = {}
         self.suspected: dict[str, str] = {}
         self.panic: tuple[str, ...] = ()
@@ -129,6 +134,7 @@
         self.boots: dict[str, str] = {}
         # Start times from the own roster or the invoker itself; earlier start times reported by others do not count.
         self.born: dict[Process, float] = {}
+        # When the course of a process last changed by a claim; own opinions and when they were last stated.
         self.claimed_at: dict[Process, float] = {}
         self.own_opinions: dict[Process, tuple[Opinion, float]] = {}
         self.peers: list[Peer] = []
--- a/sprucespool/grpc/link.py
+++ b/sprucespool/grpc/link.py
@@ -8,6 +8,7 @@
 
 from __future__ import annotations
 
+
 import h2.config
 import h2.connection
 import h2.errors
--- a/sprucespool/lab/world.py
+++ b/sprucespool/lab/world.py
@@ -31,10 +31,9 @@
 from sprucespool.judge.group import Faulted
 from sprucespool.membership import Group, GroupLimits
 from sprucespool.policy import Controller
-from sprucespool.settings.controller import ControllerPlan, RosterSource, deployment
-from sprucespool.settings.controller import Place as At
-from sprucespool.standin.badlinks import BadLinks, parted
+from sprucespool.settings.controller import ControllerPlan, Place as At, RosterSource, deployment
 from sprucespool.standin.clients import LISTEN_ON
+from sprucespool.standin.badlinks import BadLinks, parted
 from sprucespool.standin.invoker import Fault
 from sprucespool.standin.schedule import Schedule, Slot, Step, schedule, worker_facts
 from sprucespool.standin.script import Day
--- a/sprucespool/node/channel.py
+++ b/sprucespool/node/channel.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable
 
 from sprucespool.gateway import messages as ms
+from sprucespool.transport.clock import AnchoredClock
 from sprucespool.node.logs import Log
 from sprucespool.relay.feed import ChannelEvent, EntryError, FeedLink, Roster
-from sprucespool.transport.clock import AnchoredClock
 from sprucespool.transport.wire import Wire
 
 # The channel sends a comment each second: a watch that receives nothing for longer may have stopped.
--- a/sprucespool/node/gateway_server.py
+++ b/sprucespool/node/gateway_server.py
@@ -13,6 +13,7 @@
 from sprucespool import interface as it
 from sprucespool.gateway import Gateway
 from sprucespool.gateway import messages as ms
+from sprucespool.transport.clock import AnchoredClock
 from sprucespool.node.clients import ClientConnection, ClientListener
 from sprucespool.node.invokers import Invoker, InvokerRequest
 from sprucespool.node.logs import Log
@@ -21,9 +22,8 @@
 from sprucespool.relay.feed import Roster
 from sprucespool.relay.frames import Request, RequestReader
 from sprucespool.relay.lines import Answer, InvokerLink
-from sprucespool.transport.clock import AnchoredClock
-from sprucespool.transport.input_batcher import InputBatcher
 from sprucespool.transport.plan import PoolLimits
+from sprucespool.transport.input_batcher import InputBatcher
 
 CHECK_INTERVAL_SECONDS = 0.25
 # Share of the time after which invokers close idle connections. The controller closes them first, so that no forward
--- a/sprucespool/node/serve.py
+++ b/sprucespool/node/serve.py
@@ -15,11 +15,11 @@
 
 from sprucespool import interface as it
 from sprucespool.node.channel import Channel
+from sprucespool.transport.clock import AnchoredClock
 from sprucespool.node.gateway_server import GatewayServer
 from sprucespool.node.logs import Log
 from sprucespool.relay.configuration import Configuration, ConfigurationError, read
 from sprucespool.relay.feed import EntryError
-from sprucespool.transport.clock import AnchoredClock
 from sprucespool.transport.errors import TRANSIENT_ERRORS, TRANSIENT_RETRY_SECONDS
 
 # Clients go on to send requests for this long after SIGTERM.
--- a/sprucespool/policy/controller.py
+++ b/sprucespool/policy/controller.py
@@ -65,7 +65,7 @@
 from sprucespool.policy.own_traffic import OwnTraffic
 from sprucespool.policy.readiness import Readiness
 from sprucespool.policy.retry_rules import RetryRules
-from sprucespool.policy.shared_order import MAX_WHOLE_ORDER, PRIME, Fleet, SharedOrder, salt_of
+from sprucespool.policy.shared_order import PRIME, MAX_WHOLE_ORDER, Fleet, SharedOrder, salt_of
 from sprucespool.policy.slow_start import SlowStart
 from sprucespool.policy.tenant_shares import TenantShares
 from sprucespool.policy.worker_index import WorkerIndex
--- a/sprucespool/relay/frames.py
+++ b/sprucespool/relay/frames.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from sprucespool import interface as it
-from sprucespool.links import LinkError, SendNotAllowed
+from sprucespool.links import SendNotAllowed, LinkError
 from sprucespool.relay.unparsed import UnparsedBytes
 
 LENGTH_BYTES, NAME_SIZE_BYTES, VALUE_SIZE_BYTES = 4, 1, 2
--- a/sprucespool/relay/lines.py
+++ b/sprucespool/relay/lines.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from sprucespool import interface as it
-from sprucespool.links import LinkError, SendNotAllowed
+from sprucespool.links import SendNotAllowed, LinkError
 from sprucespool.relay.unparsed import UnparsedBytes
 
 MAX_LINE_BYTES, MAX_BODY_BYTES = 4096, 262_144
--- a/sprucespool/standin/members.py
+++ b/sprucespool/standin/members.py
@@ -4,7 +4,7 @@
 
 from dataclasses import replace
 
-from sprucespool.membership import About, Group, Message, Outgoing, Row, State
+from sprucespool.membership import About, Group, Message, Row, Outgoing, State
 
 
 class Shunning(Group):
--- a/sprucespool/standin/stage.py
+++ b/sprucespool/standin/stage.py
@@ -16,10 +16,10 @@
 import msgspec
 
 from sprucespool.emulator.library import LibraryFacts
-from sprucespool.faults import LinkState
 from sprucespool.grpc.status import Limits
-from sprucespool.judge import group as group_seen
+from sprucespool.faults import LinkState
 from sprucespool.judge import judge, score, seen
+from sprucespool.judge import group as group_seen
 from sprucespool.judge.score import GroupValue
 from sprucespool.settings import write
 from sprucespool.settings.controller import (
@@ -36,19 +36,19 @@
     Voter,
     ZonePlace,
 )
-from sprucespool.standin.badlinks import BadLinks, parted
 from sprucespool.standin.clients import ClientsPlan
+from sprucespool.standin.badlinks import BadLinks, parted
 from sprucespool.standin.invoker import InvokerPlan
 from sprucespool.standin.links import Relays
 from sprucespool.standin.platform import DRAINING, GONE, LibraryService, Listed, Roster
 from sprucespool.standin.processes import Process, StageFailed
 from sprucespool.standin.result import Result
+from sprucespool.standin.verdicts import facts, failover_verdict, first_seconds, fleet_verdict
 from sprucespool.standin.schedule import Schedule, Slot, Step, schedule, worker_facts
 from sprucespool.standin.script import Day
 from sprucespool.standin.starving import Starving
 from sprucespool.standin.trace import Notes, now_ms
 from sprucespool.standin.traffic import catalog, drawn
-from sprucespool.standin.verdicts import facts, failover_verdict, first_seconds, fleet_verdict
 from sprucespool.standin.watching import Watch
 from sprucespool.transport.listener import Listener, Server
 
--- a/sprucespool/transport/listener.py
+++ b/sprucespool/transport/listener.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass
 
 from sprucespool.grpc.events import CallStarted, Drained, Event, HalfClosed, Message, PingAcknowledged, Reset
+from sprucespool.grpc.streams import ReceiveBudget
 from sprucespool.grpc.server import ServerLink
 from sprucespool.grpc.status import Limits, Metadata, Status
-from sprucespool.grpc.streams import ReceiveBudget
 from sprucespool.transport.acceptor import Acceptor
 from sprucespool.transport.wire import Wire
 
--- a/sprucespool/transport/pool.py
+++ b/sprucespool/transport/pool.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from sprucespool.grpc.client import ClientLink
 from sprucespool.grpc.events import Answered, Drained, Event, GoingAway, Message, PingAcknowledged, Reset
+from sprucespool.grpc.client import ClientLink
 from sprucespool.grpc.status import Limits, Metadata
 from sprucespool.transport.opener import Opener
 from sprucespool.transport.pace import LoopPace
--- a/tests/platform_scene.py
+++ b/tests/platform_scene.py
@@ -15,10 +15,10 @@
 
 from platform_world import configuration, request_frame
 
+from sprucespool.transport.clock import AnchoredClock
 from sprucespool.node.logs import Log
 from sprucespool.node.serve import Node
 from sprucespool.relay.configuration import read
-from sprucespool.transport.clock import AnchoredClock
 
 KEY = "7f3a9c21e0b4d655"
 
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -4,11 +4,11 @@
 from dataclasses import dataclass
 
 import pytest
-from world import deployment
 
-from sprucespool.emulator.solo import Solo, SoloPlan, Troubled
 from sprucespool.interface import RosterNews
+from sprucespool.emulator.solo import Solo, SoloPlan, Troubled
 from sprucespool.policy import Controller
+from world import deployment
 
 BASE_INVOKERS, DURATION_MS, STEPS = 200, 10_000.0, 10
 # Limits against regressions. For the base fleet they are in lines, 50% above the measured count because other versions
--- a/tests/test_lab_days.py
+++ b/tests/test_lab_days.py
@@ -16,10 +16,10 @@
 from world import deployment, group
 
 from sprucespool.emulator.group import StandsStill
-from sprucespool.faults import Links, LinkState
 from sprucespool.gateway import Gateway
 from sprucespool.gateway import messages as ms
 from sprucespool.gateway.record import Recorder
+from sprucespool.faults import Links, LinkState
 from sprucespool.judge import seen
 from sprucespool.lab import saving, sweep
 from sprucespool.lab.compare import compared, interval
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -21,10 +21,10 @@
     Row,
     SourceRecord,
     claim_lifetime,
-    codec,
     decode,
     encode,
 )
+from sprucespool.learning import codec
 from sprucespool.learning.knowledge import claim_from_row, row_from_claim
 from sprucespool.transport.listener import Listener, Server, unary
 from sprucespool.wire import names
--- a/tests/test_pool_crossings.py
+++ b/tests/test_pool_crossings.py
@@ -12,10 +12,10 @@
 from faulty_sockets import Faults, faulty_sockets
 from platform_scene import run_scene, until
 
-from sprucespool.daemon.group import GroupCarrier
 from sprucespool.grpc import Status
-from sprucespool.grpc.client import ClientLink
+from sprucespool.daemon.group import GroupCarrier
 from sprucespool.grpc.events import CallStarted, HalfClosed, Message, Reset
+from sprucespool.grpc.client import ClientLink
 from sprucespool.grpc.server import ServerLink
 from sprucespool.grpc.status import Limits
 from sprucespool.settings.controller import ControllerPlan, GroupPlan, Place, RosterSource
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -6,14 +6,14 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from platform_world import DEPLOYMENT, SETTINGS, configuration, request_frame
 
+from platform_world import DEPLOYMENT, SETTINGS, configuration, request_frame
 from sprucespool import interface as it
 from sprucespool.links import LinkError
 from sprucespool.relay import frames as fr
 from sprucespool.relay import lines as ln
 from sprucespool.relay.configuration import ConfigurationError, read
-from sprucespool.relay.feed import ChannelEvent, EntryError, FeedLink, Roster
+from sprucespool.relay.feed import EntryError, FeedLink, Roster, ChannelEvent
 
 pytestmark = pytest.mark.sockets
 
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -2,14 +2,15 @@
 
 import asyncio
 
-import pytest
-from platform_scene import InvokerStandIn, Scene, run_scene, turned_away
+from platform_scene import Scene, InvokerStandIn, run_scene, turned_away
 from platform_world import request_frame
 
 from sprucespool.gateway.core import Counts
 from sprucespool.node.logs import Log
 from sprucespool.node.reports import Reports
 
+import pytest
+
 
 class KeptLog(Log):
     """Keeps each line as its event and fields."""
--- a/tests/test_shared_order.py
+++ b/tests/test_shared_order.py
@@ -6,7 +6,7 @@
 import pytest
 
 from sprucespool.policy import shared_order
-from sprucespool.policy.shared_order import MAX_WHOLE_ORDER, PARTIAL_ORDER_SIZE, Fleet, SharedOrder, salt_of
+from sprucespool.policy.shared_order import PARTIAL_ORDER_SIZE, MAX_WHOLE_ORDER, Fleet, SharedOrder, salt_of
 
 
 @dataclass(eq=False)
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -11,10 +11,10 @@
 from platform_scene import InvokerStandIn, RawClient, Scene, entry, event, hit, run_scene, until
 from platform_world import request_frame, settings_of_all_effects
 
+from sprucespool.transport.clock import AnchoredClock
 from sprucespool.node.serve import start_with_retries
-from sprucespool.relay.feed import MAX_START_REPORT_DELAY_MS, ChannelEvent, Roster
+from sprucespool.relay.feed import MAX_START_REPORT_DELAY_MS, Roster, ChannelEvent
 from sprucespool.transport.acceptor import Acceptor
-from sprucespool.transport.clock import AnchoredClock
 
 pytestmark = pytest.mark.sockets
 
