--- a/sprucespool/fleet/fleet.py
+++ b/sprucespool/fleet/fleet.py
@@ -296,18 +296,18 @@
         if after is before or after is None:
             return
         process = received.process
-        content = before is None or before.content != after.content
+        content_changed = before is None or before.content != after.content
         # A second witness is sent on, because the first may be distrusted later; a third is not.
         facts = (
-            content
+            content_changed
             or before is None
             or (len(before.claims) < min(2, len(after.claims)) or len(before.listings) < min(2, len(after.listings)))
         )
-        if content:
+        if content_changed:
             self._changed_at = self.now
             if after.claims and (before is None or after.course() is not before.course()):
                 self.claimed_at[process] = self.now
-        if content or before is None or after.opinions != before.opinions:
+        if content_changed or before is None or after.opinions != before.opinions:
             self._to_assess[process] = None
         opinions = self._opinions_to_send(before, after)
         if facts or opinions:
@@ -317,7 +317,7 @@
                 pending.facts, pending.facts_unsent = repeats, True
             pending.opinions.update(dict.fromkeys(opinions, repeats))
             pending.unsent_opinions.update(opinions)
-            if content or before is None or _opinion_kinds(after) != _opinion_kinds(before):
+            if content_changed or before is None or _opinion_kinds(after) != _opinion_kinds(before):
                 self._urgent[process] = None
                 self._push_at = min(self._push_at, self.now + self.limits.push_delay)
         self._report_address(process[0])
@@ -330,11 +330,13 @@
         not new: when it counted as new, each message about it triggered the next.
         """
         held = before.opinions if before is not None else {}
-        fresh = self.now - self.limits.opinion_repeat_interval
+        fresh_since = self.now - self.limits.opinion_repeat_interval
 
         def count_agreeing(who: Witness, one: Opinion) -> int:
             return sum(
-                other.zone == one.zone and (other.kind in BAD_KINDS) is (one.kind in BAD_KINDS) and other.at > fresh
+                other.zone == one.zone
+                and (other.kind in BAD_KINDS) is (one.kind in BAD_KINDS)
+                and other.at > fresh_since
                 for witness, other in held.items()
                 if witness != who
             )
@@ -343,7 +345,7 @@
             who: None
             for who, one in after.opinions.items()
             if (who not in held or one.count > held[who].count)
-            and one.at > fresh
+            and one.at > fresh_since
             and count_agreeing(who, one) < self.limits.enough_observers
         }
 
@@ -403,12 +405,12 @@
         drains or is gone counts whenever it is received.
         """
         self._clock(now)
-        back = self.source == source and version < self.version
-        if back:
+        went_back = self.source == source and version < self.version
+        if went_back:
             self._event("back", why=f"{source} went from version {self.version} to {version}")
         elif (newer := self._confirmed_version()) > version and whole:
             self._event("behind", why=f"{source} says version {version}, two others have {newer}")
-            back = True
+            went_back = True
         if not self.live or whole:
             self.complete_since = version
         if source != self.source:
@@ -417,10 +419,10 @@
         named: set[Process] = set()
         for row in rows:
             named.add(row.process)
-            self._row(row, version, back)
+            self._row(row, version, went_back)
         for process in [one for one in self.own_rows if one not in named] if whole else ():
             del self.own_rows[process]
-        if whole and not back:
+        if whole and not went_back:
             for record in list(self.view.records.values()):
                 listing = record.listing(self.trust.believed)
                 if (
@@ -453,7 +455,7 @@
         )
         return held[1] if len(held) > 1 else 0
 
-    def _row(self, row: RosterRow, version: int, back: bool):
+    def _row(self, row: RosterRow, version: int, went_back: bool):
         process, listed = row.process, Listed.NOT if row.gone else row.listed
         address, boot = process
         before = self.own_rows.get(process)
@@ -468,7 +470,7 @@
             self._claim_course(process, CourseClaim(Course.GONE, version, self.source))
         elif listed is Listed.DRAINING:
             self._claim_course(process, CourseClaim(Course.DRAINING, version, self.source))
-        if not back or newest is None:
+        if not went_back or newest is None:
             # For a process with a boot, draining is a separate claim; without a boot there is only the row.
             shown = listed if not boot or listed is Listed.NOT else Listed.IN_SERVICE
             born = self.now - row.age if row.age is not None else None
@@ -477,7 +479,7 @@
             self._claim_listing(
                 process, Listing(version, self.source, shown, row.zone, row.kind, row.cell, row.size), born
             )
-        if not back and not row.gone and self.course(process) is not Course.GONE:
+        if not went_back and not row.gone and self.course(process) is not Course.GONE:
             self._end_predecessors(process, version)
 
     def _end_predecessors(self, process: Process, version: int):
@@ -602,12 +604,12 @@
             self._state_opinion(process, kind)
 
     def _enough_observers(self, record: Record) -> bool:
-        fresh = self.now - self.limits.opinion_repeat_interval
+        fresh_since = self.now - self.limits.opinion_repeat_interval
         return (
             sum(
                 one.kind in BAD_KINDS
                 and one.zone == self.zone
-                and one.at > fresh
+                and one.at > fresh_since
                 and who != self.me
                 and self.trust.believed(who)
                 for who, one in record.opinions.items()
