--- a/sprucespool/fleet/fleet.py
+++ b/sprucespool/fleet/fleet.py
@@ -405,12 +405,12 @@
         drains or is gone counts whenever it is received.
         """
         self._clock(now)
-        went_back = self.source == source and version < self.version
-        if went_back:
+        outdated = self.source == source and version < self.version
+        if outdated:
             self._event("back", why=f"{source} went from version {self.version} to {version}")
         elif (newer := self._confirmed_version()) > version and whole:
             self._event("behind", why=f"{source} says version {version}, two others have {newer}")
-            went_back = True
+            outdated = True
         if not self.live or whole:
             self.complete_since = version
         if source != self.source:
@@ -419,10 +419,10 @@
         named: set[Process] = set()
         for row in rows:
             named.add(row.process)
-            self._row(row, version, went_back)
+            self._row(row, version, outdated)
         for process in [one for one in self.own_rows if one not in named] if whole else ():
             del self.own_rows[process]
-        if whole and not went_back:
+        if whole and not outdated:
             for record in list(self.view.records.values()):
                 listing = record.listing(self.trust.believed)
                 if (
@@ -455,7 +455,7 @@
         )
         return held[1] if len(held) > 1 else 0
 
-    def _row(self, row: RosterRow, version: int, went_back: bool):
+    def _row(self, row: RosterRow, version: int, outdated: bool):
         process, listed = row.process, Listed.NOT if row.gone else row.listed
         address, boot = process
         before = self.own_rows.get(process)
@@ -470,7 +470,7 @@
             self._claim_course(process, CourseClaim(Course.GONE, version, self.source))
         elif listed is Listed.DRAINING:
             self._claim_course(process, CourseClaim(Course.DRAINING, version, self.source))
-        if not went_back or newest is None:
+        if not outdated or newest is None:
             # For a process with a boot, draining is a separate claim; without a boot there is only the row.
             shown = listed if not boot or listed is Listed.NOT else Listed.IN_SERVICE
             born = self.now - row.age if row.age is not None else None
@@ -479,7 +479,7 @@
             self._claim_listing(
                 process, Listing(version, self.source, shown, row.zone, row.kind, row.cell, row.size), born
             )
-        if not went_back and not row.gone and self.course(process) is not Course.GONE:
+        if not outdated and not row.gone and self.course(process) is not Course.GONE:
             self._end_predecessors(process, version)
 
     def _end_predecessors(self, process: Process, version: int):
--- a/tests/test_group_model.py
+++ b/tests/test_group_model.py
@@ -186,8 +186,8 @@
 class RevokesReports(Fleet):
     """A roster row in service revokes an earlier report."""
 
-    def _row(self, row, version, went_back):
-        super()._row(row, version, went_back)
+    def _row(self, row, version, outdated):
+        super()._row(row, version, outdated)
         record = self.view.records.get(row.process)
         if record is not None and not row.gone and row.listed == 0:
             self.view.records[row.process] = replace(record, claims={})
@@ -197,7 +197,7 @@
 class OldRosterWins(Fleet):
     """An old copy of a roster decides which process is at an address."""
 
-    def _row(self, row, version, went_back):
+    def _row(self, row, version, outdated):
         super()._row(row, version, False)
         for record in self.view.at(row.process[0]):
             if record.process != row.process:
