--- a/sprucespool/daemon/fleet.py
+++ b/sprucespool/daemon/fleet.py
@@ -13,8 +13,19 @@
 from sprucespool import interface as it
 from sprucespool.daemon.group import GroupCarrier
 from sprucespool.daemon.snapshots import SnapshotFile
-from sprucespool.fleet import Codec, Fleet, FleetLimits, Happened, Listed, NoteError, OpinionLimits, Peer, Send, Told
-from sprucespool.fleet.codec import MOST_SNAPSHOT
+from sprucespool.fleet import (
+    Codec,
+    Fleet,
+    FleetEvent,
+    FleetLimits,
+    FleetMessageError,
+    Listed,
+    OpinionLimits,
+    Peer,
+    RosterRow,
+    Send,
+)
+from sprucespool.fleet.codec import MAX_SNAPSHOT_BYTES
 from sprucespool.fleet.gateway_inputs import gateway_inputs
 from sprucespool.fleet.records import Record
 from sprucespool.gateway import messages as ms
@@ -107,7 +118,7 @@
         # Rosters that arrived before the group started, with their source; the first one may.
         self.early_rosters: list[tuple[ms.Roster, str]] = []
         self.waiting_calls: list[ServerCall] = []
-        self.file = SnapshotFile(settings.snapshot, log, MOST_SNAPSHOT) if settings.snapshot else None
+        self.file = SnapshotFile(settings.snapshot, log, MAX_SNAPSHOT_BYTES) if settings.snapshot else None
         self.last_snapshot_at = self.loop.time()
         # Requests the readiness of an invoker; its response goes to `probed`.
         self.probe: Callable[[str], None] = lambda invoker: None
@@ -147,7 +158,7 @@
             return
         try:
             records, age = self.codec.restored(self.now(), self.wall_clock() * 1000.0, data)
-        except NoteError as error:
+        except FleetMessageError as error:
             return self.file.refuse(str(error))
         self.log.info("fleet snapshot read", invokers=len(records), age_ms=round(age))
         fleet.restore(self.now(), records)
@@ -172,7 +183,7 @@
         if self.stopped:
             return  # forwards that end while the server closes
         for send in sends:
-            self.group.send_note(send.to, self.codec.encode(self.now(), send.note))
+            self.group.send_note(send.to, self.codec.encode(self.now(), send.message))
         for invoker in fleet.take_probes():
             self.probe(invoker)
         places, doubts, events = fleet.take()
@@ -184,7 +195,7 @@
             self.timer.cancel()
         self.timer = self.loop.call_at(max(fleet.due(), self.now()) / 1000.0, self._tick)
 
-    def _event(self, event: Happened):
+    def _event(self, event: FleetEvent):
         details = {} if event.process is None else {"invoker": event.process[0], "boot": event.process[1]}
         log = self.log.warning if event.kind in WARNING_KINDS else self.log.info
         log(
@@ -210,7 +221,7 @@
         if self.fleet is None:
             return b""
         now = self.now()
-        return self.codec.encode(now, self.fleet.cargo(now))
+        return self.codec.encode(now, self.fleet.piggyback_message(now))
 
     def _receive(self, data: bytes):
         """Raises ValueError; its text says what was expected."""
@@ -218,7 +229,7 @@
         message = self.codec.decode(now, data)
         if self.fleet is not None:
             address(message.address)
-            self._carry_out(self.fleet.heard(now, message))
+            self._carry_out(self.fleet.receive(now, message))
 
     # The roster
 
@@ -230,7 +241,7 @@
         if change.kind == it.News.UNAVAILABLE.value:
             return self.roster_lost()
         rows = [
-            Told(
+            RosterRow(
                 (row.invoker, row.boot),
                 LISTED.get(row.status, Listed.NOT),
                 row.status == GONE,
@@ -304,15 +315,17 @@
             fleet.version,
             fleet.live,
             list(fleet.panic),
-            sorted({name for name, _ in fleet.credit.distrusted}),
+            sorted({name for name, _ in fleet.trust.distrusted}),
             lines,
         )
 
     def _line(self, fleet: Fleet, now: float, record: Record, copies: int) -> Shown:
         invoker, boot = record.process
-        place, listing = fleet.told.get(invoker), record.listing(fleet.credit.believed)
+        place, listing = fleet.reported.get(invoker), record.listing(fleet.trust.believed)
         current = place is not None and place.boot == boot
-        said = [Said(who[0], word.course.name.lower(), word.source, word.version) for who, word in record.words.items()]
+        said = [
+            Said(who[0], word.course.name.lower(), word.source, word.version) for who, word in record.claims.items()
+        ]
         said += [
             Said(who[0], one.listed.name.lower().replace("_", " "), one.source, one.version)
             for who, one in record.listings.items()
@@ -330,7 +343,7 @@
             status,
             current,
             -1.0 if math.isnan(running_ms) else round(running_ms, 1),
-            fleet.doubted.get(invoker, "") if current else "",
+            fleet.suspected.get(invoker, "") if current else "",
             copies,
             said,
         )
