--- a/sprucespool/daemon/failover.py
+++ b/sprucespool/daemon/failover.py
@@ -21,22 +21,22 @@
     Failover,
     Gauge,
     GaugeLimits,
-    Keep,
-    Loaded,
-    Pass,
+    LoadReport,
+    PlanMessage,
+    PlanMessageError,
     PlannerLimits,
+    RenewalDelivery,
     Reports,
-    Said,
-    SaidError,
+    SendToVoter,
+    ServingInvoker,
     Spread,
-    Standing,
     Steer,
-    Tell,
+    StoreBallot,
     Topology,
-    Ways,
+    ZoneCosts,
     ZoneState,
-    ballot,
-    kept,
+    decode_ballot,
+    encode_ballot,
 )
 from sprucespool.gateway import messages as ms
 from sprucespool.grpc.status import Status
@@ -137,7 +137,7 @@
         self.steer, self.meter = steer_class(self.zone, self.topology), failover_class.meter_kind(self.zone)
         self.spread = Spread(plan.seed * 37 + plan.controller.number)
         self.gauge = Gauge(self.topology, GaugeLimits(plan.fleet.cold_share, plan.fleet.warm_after, settings.cores))
-        self.reports, self.zone_costs = Reports(), Ways(self.zone, self.topology)
+        self.reports, self.zone_costs = Reports(), ZoneCosts(self.zone, self.topology)
         self.zone_costs_due_at = self.states_due_at = 0.0
         self.groups = {group.name: group for group in plan.model_groups}
         self.bound_tenants = {tenant.name for tenant in plan.tenants if tenant.stay}
@@ -147,7 +147,7 @@
         self.timer: asyncio.TimerHandle | None = None
         self.stopped = False
         measure_load, self.group.metric_names = group.measure_load, (*LOAD_METRICS, *FAILOVER_METRICS)
-        group.measure_load = lambda: (*measure_load(), *self.meter.figures(self.now()))
+        group.measure_load = lambda: (*measure_load(), *self.meter.measure(self.now()))
         group.failover_payload, group.on_plan = self._payload, self._receive
 
     def now(self) -> float:
@@ -162,8 +162,8 @@
         if self.file is None or data is None:
             return None
         try:
-            return ballot(data)
-        except SaidError as error:
+            return decode_ballot(data)
+        except PlanMessageError as error:
             self.file.refuse(str(error))
             return None
 
@@ -177,27 +177,28 @@
         now = self.now()
         if now >= self.states_due_at:
             council = self.failover.council
-            plans = council.votes or council.in_force(now) is None
+            plans = council.is_voter or council.in_force(now) is None
             self.states_due_at = now + (STATES_INTERVAL_MS if plans else 2 * STATES_INTERVAL_MS)
             states = self.states()
-            self.steer.serves = frozenset(zone for zone, state in states.items() if state.now > 0) or None
+            self.steer.serving_zones = frozenset(zone for zone, state in states.items() if state.now > 0) or None
             if not states[self.zone].warm:
-                self.meter.emptied()
-            self.failover.know(now, states)
-            self.failover.know_members(self._plan_members())
+                self.meter.forget_outcomes()
+            self.failover.update_states(now, states)
+            self.failover.update_members(self._plan_members())
         if self.unstored_ballot is not None and self.file is not None:
             self._store_ballot(self.file, self.unstored_ballot)
         self._carry_out(self.failover.tick(now))
         if self.failover.council.leads(now):
             self._send_renewals(
-                self.spread.lead(now, self.failover.council.renewal(now), [row.address for row in self.others()])
+                self.spread.distribute(now, self.failover.council.renewal(now), [row.address for row in self.others()])
             )
-        costs, metrics = self._measured_costs(now), self.meter.news(now)
+        costs, metrics = self._measured_costs(now), self.meter.report_if_due(now)
         if metrics is not None or costs:
             for row in self.others():
                 if row.name in self.failover.council.voters:
                     self._send(
-                        row.address, Said(self.failover.name, self.failover.epoch, figures=metrics or (), ways=costs)
+                        row.address,
+                        PlanMessage(self.failover.name, self.failover.epoch, metrics=metrics or (), costs=costs),
                     )
         delay_seconds = (self.failover.due() - now) / 1000.0
         if delay_seconds < CHECK_INTERVAL_SECONDS:
@@ -209,18 +210,18 @@
         reports of others."""
         member = self.group.group
         while member is not None and member.round_trips:
-            self.zone_costs.answered(*member.round_trips.popleft())
+            self.zone_costs.record_round_trip(*member.round_trips.popleft())
         if now < self.zone_costs_due_at:
             return {}
         self.zone_costs_due_at = now + ZONE_COSTS_INTERVAL_MS
         self.reports.keep(row.name for row in self.others())
-        if self.failover.council.votes and self.zone_costs.weigh(row.name for row in self.others()):
+        if self.failover.council.is_voter and self.zone_costs.update(row.name for row in self.others()):
             self.log.info(
                 "failover",
                 kind="ways",
                 costs={f"{one} {other}": cost for (one, other), cost in sorted(self.topology.costs.items())},
             )
-        return self.zone_costs.row()
+        return self.zone_costs.measured()
 
     def others(self) -> list[Any]:
         member = self.group.group
@@ -239,7 +240,7 @@
             []
             if fleet is None
             else [
-                Standing(
+                ServingInvoker(
                     place.zone,
                     place.size,
                     None if place.born is None else now - place.born,
@@ -250,7 +251,7 @@
                 if place.status == it.Status.IN_SERVICE.value
             ]
         )
-        loads = [Loaded(self.zone, *self.meter.figures(now), at=now)]
+        loads = [LoadReport(self.zone, *self.meter.measure(now), reported_at=now)]
         metric_count = len(self.group.metric_names)
         for row in self.others() if member is not None else ():
             metrics, at = self.reports.of(
@@ -259,58 +260,61 @@
             if len(metrics) == len(FAILOVER_METRICS):
                 free, bound, home_cores, returned_share, in_time_share = metrics
                 loads.append(
-                    Loaded(row.about.zone, free, bound, home_cores, returned_share, in_time_share, row.name, at)
+                    LoadReport(row.about.zone, free, bound, home_cores, returned_share, in_time_share, row.name, at)
                 )
         return self.gauge.states(now, serving, loads, self.failover.council.in_force(now))
 
     def _carry_out(self, effects: Iterable[Any]):
         addresses = {row.name: row.address for row in self.others()}
         for effect in effects:
-            if isinstance(effect, Keep):
+            if isinstance(effect, StoreBallot):
                 if self.file is not None:
                     self._store_ballot(self.file, effect.ballot)
-            elif isinstance(effect, Tell) and effect.to in addresses and self.unstored_ballot is None:
-                self._send(addresses[effect.to], Said(self.failover.name, self.failover.epoch, effect.word))
+            elif isinstance(effect, SendToVoter) and effect.to in addresses and self.unstored_ballot is None:
+                self._send(addresses[effect.to], PlanMessage(self.failover.name, self.failover.epoch, effect.message))
         for event in self.failover.take_events():
             log = self.log.warning if event.kind in WARNING_KINDS else self.log.info
             log("failover", kind=event.kind, epoch=event.epoch, **({"why": event.why} if event.why else {}))
 
     def _store_ballot(self, file: SnapshotFile, to_store: Ballot):
         """Messages to voters depend on the ballot: none is sent while it is not durably stored, as if all were lost."""
-        self.unstored_ballot = None if file.write(kept(to_store)) else to_store
+        self.unstored_ballot = None if file.write(encode_ballot(to_store)) else to_store
 
-    def _send(self, to: str, message: Said):
+    def _send(self, to: str, message: PlanMessage):
         self.group.send_plan(to, self.codec.encode(message))
 
-    def _send_renewals(self, deliveries: Iterable[Pass]):
+    def _send_renewals(self, deliveries: Iterable[RenewalDelivery]):
         for delivery in deliveries:
             self._send(
-                delivery.to, Said(self.failover.name, self.failover.epoch, None, delivery.renewal, delivery.pass_on)
+                delivery.to,
+                PlanMessage(self.failover.name, self.failover.epoch, None, delivery.renewal, delivery.pass_on),
             )
 
     # The group's messages
 
     def _payload(self) -> bytes:
         renewal = self.failover.council.renewal(self.now())
-        return self.codec.encode(Said(self.failover.name, self.failover.epoch, None, renewal))
+        return self.codec.encode(PlanMessage(self.failover.name, self.failover.epoch, None, renewal))
 
     def _receive(self, data: bytes):
-        """Raises SaidError; its text says what was expected."""
+        """Raises PlanMessageError; its text says what was expected."""
         message, now = self.codec.decode(data), self.now()
         if len(self.followed_epochs) < 4096 or message.sender in self.followed_epochs:
             self.followed_epochs[message.sender] = message.epoch
         if message.renewal is not None:
-            self.failover.rode(now, message.renewal)
+            self.failover.receive_renewal(now, message.renewal)
             for to in message.pass_on:
                 loopback(to)
-            self._send_renewals(Spread.on(message.renewal, message.pass_on))
-        has_report = message.figures or message.ways
+            self._send_renewals(Spread.relay(message.renewal, message.pass_on))
+        has_report = message.metrics or message.costs
         row = next((member for member in self.others() if member.name == message.sender), None) if has_report else None
-        if row is not None and message.figures:
-            self.reports.heard(now, message.sender, message.figures)
-        if row is not None and message.ways:
-            self.zone_costs.heard(message.sender, row.about.zone, message.ways)
-        self._carry_out(self.failover.heard(now, message.word) if message.word is not None else ())
+        if row is not None and message.metrics:
+            self.reports.receive(now, message.sender, message.metrics)
+        if row is not None and message.costs:
+            self.zone_costs.receive(message.sender, row.about.zone, message.costs)
+        self._carry_out(
+            self.failover.receive(now, message.council_message) if message.council_message is not None else ()
+        )
 
     # Inferences
 
@@ -396,7 +400,7 @@
             leader,
             list(council.voters),
             failover.planner.changes,
-            sorted(failover.wanted),
+            sorted(failover.requested_drains),
             [zone for zone in self.topology.zones if not self.steer.open(zone)],
             {name: follows[name] for name in sorted(live) if name in follows},
             lines,
@@ -420,7 +424,7 @@
         council = self.failover.council
         leader = council.leader
         leader_address = next((row.address for row in self.others() if row.name == leader), "")
-        if not leader_address and council.votes is False:
+        if not leader_address and council.is_voter is False:
             # Only voters know the leader: any of them can name it.
             leader_address = next((row.address for row in self.others() if row.name in council.voters), "")
         _reply(call, platform.DrainZoneReply(why=f"{leader or 'nobody known here'} leads", leader=leader_address))
--- a/sprucespool/failover/council.py
+++ b/sprucespool/failover/council.py
@@ -1,21 +1,22 @@
-"""How a plan is decided in common: a few voters elect one who proposes; what most of them hold is in force. No I/O.
-
-Not a log: only the newest plan matters. After Raft's elections (Ongaro, Ousterhout, USENIX ATC 2014) with its pre-
-vote and leader leases; the plan is one register whose value goes by epoch (term, number). Why at most one plan has
-an epoch: a term has one leader, as a voter gives one vote a term and keeps it on disk before it says so; and a
-leader numbers its plans. Why an older plan never replaces a newer one: nobody goes to a lower epoch, and a plan is
-in force only when most voters hold it, of whom any later leader must have asked one. Nobody waits for any of this
-before answering an inference.
-
-Who has a vote stands in the files at first, and is changed one name at a time (`reseat`; Ongaro's thesis, 2014, chapter
-4): two following sets of voters have no majorities apart, the next change waits until most hold the one before, and
-nobody votes for who knows an older set. Each leader states the set anew in its own term before it changes it, so that
-what an earlier one began and most never held is outvoted.
-
-Time enters at two places only, and no safety rests on either: voters that heard a leader a moment ago elect no
-other, and whoever hears no renewal for `hold` falls back to a safe plan. Call `tick` when `due` has come and
-`heard` for each message; `propose` at the leader. Effects come back in order: `Keep` must be on disk before what
-follows it is sent.
+"""Consensus of the voters on the plan: they elect a leader, which proposes plans; a plan that a majority holds is in
+force. No I/O.
+
+There is no log, as only the newest plan matters. Elections follow Raft (Ongaro, Ousterhout, USENIX ATC 2014) with its
+pre-vote and leader leases; the plan is a single register whose value is ordered by epoch (term, number). At most one
+plan has a given epoch: a term has one leader, because a voter gives one vote per term and stores it on disk before it
+answers, and a leader numbers its plans. An older plan never replaces a newer one: no controller returns to a lower
+epoch, and a plan is in force only when a majority of the voters holds it, which includes at least one voter of any
+later leader. No inference waits for any of this.
+
+The voters are first those of the settings, and change one name at a time (`change_voters`; Ongaro's thesis, 2014,
+chapter 4): majorities of two successive sets always overlap, the next change waits until a majority holds the previous
+one, and no voter votes for a candidate with an older set. Each leader restates the set in its own term before it
+changes it, so that a change that an earlier leader began without a majority is superseded.
+
+Time matters in two places only, and safety depends on neither: voters that recently received a beat of a leader elect
+no other, and a controller without a renewal for `plan_lifetime` uses the fallback plan. Call `tick` when `due` is
+reached, `receive` for each message, and `propose` at the leader. Effects are ordered: a `StoreBallot` must be on disk
+before the messages that follow it are sent.
 """
 
 from __future__ import annotations
@@ -32,8 +33,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seats:
-    """Who has a vote, as stated in an epoch; the files' set is of (0, 0)."""
+class VoterSet:
+    """The voters, as stated in an epoch; the set of the settings has epoch (0, 0)."""
 
     epoch: tuple[int, int] = (0, 0)
     voters: tuple[str, ...] = ()
@@ -45,246 +46,256 @@
 
 @dataclass(frozen=True, slots=True)
 class Ballot:
-    """What a voter must never forget: the highest term it knows, whom it gave its vote in it, who has a vote. Without
-    voters: those of the files."""
+    """What a voter must store durably: the highest term that it knows, its vote in that term, and the voters. If the
+    set of voters is empty, that of the settings counts."""
 
     term: int = 0
     voted: str = NOBODY
-    seats: Seats = Seats()
+    voter_set: VoterSet = VoterSet()
 
 
 @dataclass(frozen=True, slots=True)
-class Word:
-    """Between voters. `may`: would you elect me in this term; `might`: yes; `vote`, `voted`: the same in earnest;
-    `beat`: I lead, this is my plan; `held`: I hold it. `number` joins a held to its beat. `seats` as the sender knows
-    them."""
+class CouncilMessage:
+    """A message between voters. `may`: request for a pre-vote in this term; `might`: pre-vote granted; `vote`: request
+    for a vote; `voted`: vote granted; `beat`: heartbeat of the leader with its plan; `held`: acknowledges a beat.
+    `number` pairs a `held` with its `beat`. `voter_set`: as the sender knows it."""
 
     kind: Kind
     sender: str
     term: int
     number: int = 0
     plan: Plan | None = None
-    # Of a beat: the newest plan that most hold, and how often that was renewed.
+    # In a beat: the epoch of the newest plan that a majority holds, and its count of renewals.
     decided: tuple[int, int] = (0, 0)
-    renewed: int = 0
-    seats: Seats = Seats()
+    renewals: int = 0
+    voter_set: VoterSet = VoterSet()
 
 
 @dataclass(frozen=True, slots=True)
-class Keep:
+class StoreBallot:
+    """Effect: the ballot must be on disk before any later effect is carried out."""
+
     ballot: Ballot
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendToVoter:
+    """Effect: send `message` to the voter named `to`."""
+
     to: str
-    word: Word
+    message: CouncilMessage
 
 
-Effect = Keep | Tell
+Effect = StoreBallot | SendToVoter
 
 
 @dataclass(frozen=True, slots=True)
 class Renewal:
-    """Rides to all controllers: the plan in force and how often it was renewed; `age` of the renewal in ms."""
+    """Sent to all controllers: the plan in force, its count of renewals, and the `age` of the last one in ms."""
 
     plan: Plan
-    renewed: int
+    renewals: int
     age: float
-    seats: Seats = Seats()
+    voter_set: VoterSet = VoterSet()
 
 
 @dataclass(frozen=True, slots=True)
 class CouncilLimits:
     """Times in ms. `drift`: how much faster one clock may run than another."""
 
-    beat: float = 500.0
-    least_wait: float = 1_500.0
-    most_wait: float = 3_000.0
+    beat_interval: float = 500.0
+    min_election_wait: float = 1_500.0
+    max_election_wait: float = 3_000.0
     lease: float = 1_400.0
     drift: float = 0.05
-    # Without a renewal for so long a controller goes by the safe plan.
-    hold: float = 8_000.0
-    # A voter that lost what it kept gives no vote before, so that any term it may have voted in is over.
-    forgetful: float = 10_000.0
+    # Without a renewal for this time a controller uses the fallback plan.
+    plan_lifetime: float = 8_000.0
+    # A voter without a stored ballot gives no vote before this time, so that any term it may have voted in is over.
+    lost_ballot_wait: float = 10_000.0
 
 
 @dataclass(slots=True, eq=False)
 class Council:
-    """One controller's part; `voters` are names: at first the files', then those in office. Who is not among them only
-    follows. `kept`: what was on disk, None where nothing was."""
+    """One controller's part in the consensus, as a follower, candidate or leader. `voters`: names, at first those of
+    the settings, then the current ones. A controller that is not among them only follows. `stored_ballot`: read from
+    disk, None if there was none."""
 
     name: str
     voters: tuple[str, ...]
     seed: int = 1
-    kept: Ballot | None = None
+    stored_ballot: Ballot | None = None
     limits: CouncilLimits = field(default_factory=CouncilLimits)
     now: float = 0.0
     role: str = "follower"
     ballot: Ballot = Ballot()
     leader: str = NOBODY
-    # The newest plan held, whoever decided it; the one in force here, and its renewals.
+    # The newest plan held, decided or not; the plan in force here, and its count of renewals.
     plan: Plan | None = None
     decided: Plan | None = None
-    renewed: int = 0
+    renewals: int = 0
     renewed_at: float = -math.inf
-    heard_at: float = -math.inf
-    begun_at: float = math.nan
-    wait_until: float = math.inf
+    last_beat_at: float = -math.inf
+    started_at: float = math.nan
+    election_at: float = math.inf
     beat_at: float = math.inf
     number: int = 0
-    drawn: int = 0
-    yes: set[str] = field(default_factory=set)
-    # At the leader: beats that are out, when each was sent, who answered.
+    draws: int = 0
+    votes_received: set[str] = field(default_factory=set)
+    # At the leader, by number of the beat: when it was sent and with which epoch; who answered it.
     beats: dict[int, tuple[float, tuple[int, int]]] = field(default_factory=dict)
     answers: dict[int, set[str]] = field(default_factory=dict)
     lease_until: float = -math.inf
-    # At the leader: the newest set of voters that most of it hold.
-    seated: tuple[int, int] = (-1, -1)
+    # At the leader: the epoch of the newest set of voters that a majority of it holds.
+    agreed_epoch: tuple[int, int] = (-1, -1)
 
     def __post_init__(self):
-        self.ballot = self.kept or Ballot()
-        if not self.ballot.seats.voters:
-            self.ballot = replace(self.ballot, seats=Seats((0, 0), self.voters))
-        self.voters = self.seats.voters
+        self.ballot = self.stored_ballot or Ballot()
+        if not self.ballot.voter_set.voters:
+            self.ballot = replace(self.ballot, voter_set=VoterSet((0, 0), self.voters))
+        self.voters = self.voter_set.voters
 
-    # Reading
+    # Queries
 
     @property
-    def votes(self) -> bool:
+    def is_voter(self) -> bool:
         return self.name in self.voters
 
     @property
-    def seats(self) -> Seats:
-        return self.ballot.seats
+    def voter_set(self) -> VoterSet:
+        return self.ballot.voter_set
 
     @property
     def majority(self) -> int:
-        return self.seats.majority
+        return self.voter_set.majority
 
     def leads(self, now: float) -> bool:
-        """Most voters heard this leader a moment ago, by its own clock from when it spoke."""
+        """Whether the leader lease is valid: a majority answered a beat, and the lease counts from when that was
+        sent."""
         return self.role == "leader" and now < self.lease_until
 
     def in_force(self, now: float) -> Plan | None:
-        """The plan to follow, or None: then go by the safe one."""
-        return self.decided if self.decided is not None and now - self.renewed_at < self.limits.hold else None
+        """The plan to follow, or None if there is none: then use the fallback plan."""
+        return self.decided if self.decided is not None and now - self.renewed_at < self.limits.plan_lifetime else None
 
     def renewal(self, now: float) -> Renewal | None:
-        """What rides to all others."""
-        if self.decided is None or now - self.renewed_at >= self.limits.hold:
+        """The renewal to send to all others, if a plan is in force."""
+        if self.decided is None or now - self.renewed_at >= self.limits.plan_lifetime:
             return None
-        return Renewal(self.decided, self.renewed, max(0.0, now - self.renewed_at), self.seats)
+        return Renewal(self.decided, self.renewals, max(0.0, now - self.renewed_at), self.voter_set)
 
     def due(self) -> float:
-        # Who lost its vote has nothing to wait for: a wait of before would be due for ever.
-        return min(self.wait_until, self.beat_at) if self.votes else math.inf
+        # A controller that lost its vote has no timers: an old election timer would stay due forever.
+        return min(self.election_at, self.beat_at) if self.is_voter else math.inf
 
     # Time
 
-    def _chance(self, span: float) -> float:
-        self.drawn += 1
-        return span * (zlib.crc32(b"%d:%s:%d" % (self.seed, self.name.encode(), self.drawn)) / 2**32)
+    def _random_delay(self, max_delay: float) -> float:
+        self.draws += 1
+        return max_delay * (zlib.crc32(b"%d:%s:%d" % (self.seed, self.name.encode(), self.draws)) / 2**32)
 
-    def _wait(self, now: float):
+    def _reset_election_timer(self, now: float):
         limits = self.limits
-        self.wait_until = now + limits.least_wait + self._chance(limits.most_wait - limits.least_wait)
+        self.election_at = (
+            now + limits.min_election_wait + self._random_delay(limits.max_election_wait - limits.min_election_wait)
+        )
 
     def tick(self, now: float) -> list[Effect]:
         self.now = now = max(self.now, now)
-        if not self.votes:
+        if not self.is_voter:
             return []
-        if math.isnan(self.begun_at):
-            self.begun_at = now
-            self._wait(now)
+        if math.isnan(self.started_at):
+            self.started_at = now
+            self._reset_election_timer(now)
         if self.role == "leader":
             if now >= self.lease_until + self.limits.lease:
-                # Most have not answered for long: there may be another by now.
+                # A majority has not answered for long, so there may be another leader by now.
                 return self._step_down(now)
-            return self._beat(now) if now >= self.beat_at else []
-        if now >= self.wait_until:
-            self._wait(now)
-            return self._ask(now)
+            return self._send_beat(now) if now >= self.beat_at else []
+        if now >= self.election_at:
+            self._reset_election_timer(now)
+            return self._request_pre_votes(now)
         return []
 
     def _may_vote(self, now: float) -> bool:
-        return self.kept is not None or now - self.begun_at >= self.limits.forgetful
+        return self.stored_ballot is not None or now - self.started_at >= self.limits.lost_ballot_wait
 
-    def _ask(self, now: float) -> list[Effect]:
-        """First whether others would: who is cut off raises no terms."""
+    def _request_pre_votes(self, now: float) -> list[Effect]:
+        """Pre-vote: asks first whether others would vote, so that a partitioned voter does not raise the term."""
         if not self._may_vote(now):
             return []
-        self.role, self.leader, self.yes = "asking", NOBODY, {self.name}
-        word = Word("may", self.name, self.ballot.term + 1, seats=self.seats)
-        return self._to_others(word) + (self._stand(now) if len(self.yes) >= self.majority else [])
+        self.role, self.leader, self.votes_received = "asking", NOBODY, {self.name}
+        message = CouncilMessage("may", self.name, self.ballot.term + 1, voter_set=self.voter_set)
+        return self._to_others(message) + (
+            self._start_election(now) if len(self.votes_received) >= self.majority else []
+        )
 
-    def _stand(self, now: float) -> list[Effect]:
-        self.role, self.yes = "candidate", {self.name}
-        self._keep(replace(self.ballot, term=self.ballot.term + 1, voted=self.name))
+    def _start_election(self, now: float) -> list[Effect]:
+        self.role, self.votes_received = "candidate", {self.name}
+        self._store_ballot(replace(self.ballot, term=self.ballot.term + 1, voted=self.name))
         effects: list[Effect] = [
-            Keep(self.ballot),
-            *self._to_others(Word("vote", self.name, self.ballot.term, seats=self.seats)),
+            StoreBallot(self.ballot),
+            *self._to_others(CouncilMessage("vote", self.name, self.ballot.term, voter_set=self.voter_set)),
         ]
-        return effects + (self._lead(now) if len(self.yes) >= self.majority else [])
+        return effects + (self._become_leader(now) if len(self.votes_received) >= self.majority else [])
 
-    def _lead(self, now: float) -> list[Effect]:
+    def _become_leader(self, now: float) -> list[Effect]:
         self.role, self.leader, self.number = "leader", self.name, 0
         self.beats.clear()
         self.answers.clear()
-        # Its own plan begins where the newest that it holds left off, under its own term.
+        # The leader starts with the newest plan that it holds, restated in its own term.
         plans = [one for one in (self.plan, self.decided) if one is not None]
-        held = max(plans, key=lambda one: one.epoch, default=None)
-        self.plan = replace(held, epoch=(self.ballot.term, 1)) if held is not None else None
+        newest = max(plans, key=lambda one: one.epoch, default=None)
+        self.plan = replace(newest, epoch=(self.ballot.term, 1)) if newest is not None else None
         self.lease_until = now + self.limits.lease
-        self.wait_until = math.inf
-        self._keep(replace(self.ballot, seats=replace(self.seats, epoch=(self.ballot.term, 1))))
-        return [Keep(self.ballot), *self._beat(now)]
+        self.election_at = math.inf
+        self._store_ballot(replace(self.ballot, voter_set=replace(self.voter_set, epoch=(self.ballot.term, 1))))
+        return [StoreBallot(self.ballot), *self._send_beat(now)]
 
-    def reseat(self, now: float, voters: tuple[str, ...]) -> list[Effect]:
-        """At the leader: these are to have a vote, one more or one less than now. Nothing happens elsewhere, or while
-        most do not yet hold the set before."""
+    def change_voters(self, now: float, voters: tuple[str, ...]) -> list[Effect]:
+        """At the leader: changes the voters to these, one more or one less than now. No effect at other controllers, or
+        while a majority does not hold the previous set yet."""
         self.now = now = max(self.now, now)
         if (
             self.role != "leader"
-            or self.seated != self.seats.epoch
+            or self.agreed_epoch != self.voter_set.epoch
             or self.name not in voters
             or len(set(voters) ^ set(self.voters)) != 1
         ):
             return []
-        term, number = self.seats.epoch
-        self._keep(replace(self.ballot, seats=Seats((term, number + 1), tuple(sorted(voters)))))
-        # Answers to what was said under the set before count no more.
+        term, number = self.voter_set.epoch
+        self._store_ballot(replace(self.ballot, voter_set=VoterSet((term, number + 1), tuple(sorted(voters)))))
+        # Answers to beats sent under the previous set no longer count.
         self.beats.clear()
         self.answers.clear()
-        return [Keep(self.ballot), *self._beat(now)]
+        return [StoreBallot(self.ballot), *self._send_beat(now)]
 
     def _step_down(self, now: float) -> list[Effect]:
         self.role, self.leader, self.beat_at = "follower", NOBODY, math.inf
         self.beats.clear()
         self.answers.clear()
-        self._wait(now)
+        self._reset_election_timer(now)
         return []
 
-    def _keep(self, ballot: Ballot):
-        self.ballot = self.kept = ballot
-        self.voters = ballot.seats.voters
+    def _store_ballot(self, ballot: Ballot):
+        self.ballot = self.stored_ballot = ballot
+        self.voters = ballot.voter_set.voters
 
-    def _to_others(self, word: Word) -> list[Effect]:
-        return [Tell(voter, word) for voter in self.voters if voter != self.name]
+    def _to_others(self, message: CouncilMessage) -> list[Effect]:
+        return [SendToVoter(voter, message) for voter in self.voters if voter != self.name]
 
     # The leader
 
     def propose(self, now: float, plan: Plan) -> list[Effect]:
-        """At the leader: this is to be in force. Numbered here; nothing happens elsewhere."""
+        """At the leader: proposes this plan with the next epoch. No effect at other controllers."""
         self.now = now = max(self.now, now)
         if self.role != "leader":
             return []
-        before = self.plan.epoch[1] if self.plan is not None and self.plan.epoch[0] == self.ballot.term else 0
-        self.plan = replace(plan, epoch=(self.ballot.term, before + 1))
-        return self._beat(now)
+        last_number = self.plan.epoch[1] if self.plan is not None and self.plan.epoch[0] == self.ballot.term else 0
+        self.plan = replace(plan, epoch=(self.ballot.term, last_number + 1))
+        return self._send_beat(now)
 
-    def _beat(self, now: float) -> list[Effect]:
-        self.beat_at = now + self.limits.beat
+    def _send_beat(self, now: float) -> list[Effect]:
+        self.beat_at = now + self.limits.beat_interval
         self.number += 1
         epoch = self.plan.epoch if self.plan is not None else (0, 0)
         self.beats[self.number] = now, epoch
@@ -292,138 +303,147 @@
         for old in [number for number in self.beats if number <= self.number - 32]:
             del self.beats[old], self.answers[old]
         effects = self._to_others(
-            Word(
+            CouncilMessage(
                 "beat",
                 self.name,
                 self.ballot.term,
                 self.number,
                 self.plan,
                 self.decided.epoch if self.decided is not None else (0, 0),
-                self.renewed,
-                self.seats,
+                self.renewals,
+                self.voter_set,
             )
         )
-        self._counted(self.number)
+        self._count_answers(self.number)
         return effects
 
-    def _counted(self, number: int):
-        """Most voters answered a beat: the leader leads from when it was sent, the plan of it is in force."""
+    def _count_answers(self, number: int):
+        """Once a majority answered a beat: the lease runs from when that was sent, and its plan is in force."""
         if len(self.answers[number]) < self.majority:
             return
         sent, epoch = self.beats[number]
-        self.seated = self.seats.epoch
+        self.agreed_epoch = self.voter_set.epoch
         self.lease_until = max(self.lease_until, sent + self.limits.lease)
         if self.plan is None or epoch != self.plan.epoch:
             return
         if self.decided is None or self.decided.epoch < epoch:
-            self.decided, self.renewed = self.plan, 0
+            self.decided, self.renewals = self.plan, 0
         if sent > self.renewed_at:
-            self.renewed += 1
+            self.renewals += 1
             self.renewed_at = sent
 
-    # Hearing
+    # Receiving
 
-    def heard(self, now: float, word: Word) -> list[Effect]:
+    def receive(self, now: float, message: CouncilMessage) -> list[Effect]:
         self.now = now = max(self.now, now)
-        asks = word.kind in ("may", "vote", "beat")
-        seats = word.seats if asks and word.seats.epoch >= self.seats.epoch and word.seats.voters else self.seats
-        if word.sender == self.name or word.sender not in seats.voters or self.name not in seats.voters:
+        is_request = message.kind in ("may", "vote", "beat")
+        voter_set = (
+            message.voter_set
+            if is_request and message.voter_set.epoch >= self.voter_set.epoch and message.voter_set.voters
+            else self.voter_set
+        )
+        if message.sender == self.name or message.sender not in voter_set.voters or self.name not in voter_set.voters:
             return []
-        if math.isnan(self.begun_at):
-            self.begun_at = now
-            self._wait(now)
-        if word.kind == "may":
-            return self._would(now, word)
-        if word.kind == "might":
-            if self.role == "asking" and word.term == self.ballot.term + 1:
-                self.yes.add(word.sender)
-                if len(self.yes) >= self.majority:
-                    return self._stand(now)
+        if math.isnan(self.started_at):
+            self.started_at = now
+            self._reset_election_timer(now)
+        if message.kind == "may":
+            return self._on_pre_vote(now, message)
+        if message.kind == "might":
+            if self.role == "asking" and message.term == self.ballot.term + 1:
+                self.votes_received.add(message.sender)
+                if len(self.votes_received) >= self.majority:
+                    return self._start_election(now)
             return []
-        if word.term < self.ballot.term:
-            # Who speaks in an old term hears of the newer one, and steps down.
-            return [Tell(word.sender, Word("held", self.name, self.ballot.term))] if word.kind == "beat" else []
+        if message.term < self.ballot.term:
+            # A leader of an old term learns of the newer one by this, and steps down.
+            return (
+                [SendToVoter(message.sender, CouncilMessage("held", self.name, self.ballot.term))]
+                if message.kind == "beat"
+                else []
+            )
         effects: list[Effect] = []
-        if word.kind == "vote":
-            return self._elect(now, word)
-        if word.term > self.ballot.term or seats.epoch > self.seats.epoch:
-            # Who hears a leader gives nobody else its vote in that term, whatever it may have forgotten.
-            voted = word.sender if word.kind == "beat" else NOBODY
-            raised = word.term > self.ballot.term
-            self._keep(Ballot(word.term, voted if raised else self.ballot.voted, seats))
-            effects.append(Keep(self.ballot))
+        if message.kind == "vote":
+            return self._on_vote(now, message)
+        if message.term > self.ballot.term or voter_set.epoch > self.voter_set.epoch:
+            # A beat binds the vote in its term to its sender, even if an earlier vote was lost from disk.
+            voted = message.sender if message.kind == "beat" else NOBODY
+            raised = message.term > self.ballot.term
+            self._store_ballot(Ballot(message.term, voted if raised else self.ballot.voted, voter_set))
+            effects.append(StoreBallot(self.ballot))
             if self.role != "follower":
                 self._step_down(now)
-        if word.kind == "voted":
-            if self.role == "candidate" and word.term == self.ballot.term:
-                self.yes.add(word.sender)
-                if len(self.yes) >= self.majority:
-                    effects += self._lead(now)
-        elif word.kind == "beat":
-            effects += self._follow(now, word)
-        elif word.kind == "held" and self.role == "leader" and word.number in self.answers:
-            self.answers[word.number].add(word.sender)
-            self._counted(word.number)
+        if message.kind == "voted":
+            if self.role == "candidate" and message.term == self.ballot.term:
+                self.votes_received.add(message.sender)
+                if len(self.votes_received) >= self.majority:
+                    effects += self._become_leader(now)
+        elif message.kind == "beat":
+            effects += self._on_beat(now, message)
+        elif message.kind == "held" and self.role == "leader" and message.number in self.answers:
+            self.answers[message.number].add(message.sender)
+            self._count_answers(message.number)
         return effects
 
-    def _quiet(self, now: float) -> bool:
-        """No leader was heard for so long that its lease is over by any clock."""
-        return now - self.heard_at >= self.limits.lease * (1 + self.limits.drift) and not self.leads(now)
+    def _no_leader_alive(self, now: float) -> bool:
+        """Whether the last beat is so old that the lease of its leader has ended by any clock."""
+        return now - self.last_beat_at >= self.limits.lease * (1 + self.limits.drift) and not self.leads(now)
 
-    def _would(self, now: float, word: Word) -> list[Effect]:
+    def _on_pre_vote(self, now: float, message: CouncilMessage) -> list[Effect]:
         if (
-            word.term > self.ballot.term
-            and word.seats.epoch >= self.seats.epoch
-            and self._quiet(now)
+            message.term > self.ballot.term
+            and message.voter_set.epoch >= self.voter_set.epoch
+            and self._no_leader_alive(now)
             and self._may_vote(now)
         ):
-            return [Tell(word.sender, Word("might", self.name, word.term))]
+            return [SendToVoter(message.sender, CouncilMessage("might", self.name, message.term))]
         return []
 
-    def _elect(self, now: float, word: Word) -> list[Effect]:
-        if word.seats.epoch < self.seats.epoch:
-            return []  # a set of voters that it does not know may have been agreed on
+    def _on_vote(self, now: float, message: CouncilMessage) -> list[Effect]:
+        if message.voter_set.epoch < self.voter_set.epoch:
+            return []  # the candidate may not know a set of voters that was agreed on
         if (
             not self._may_vote(now)
-            or not self._quiet(now)
-            or word.term <= self.ballot.term
-            and not (word.term == self.ballot.term and self.ballot.voted in (NOBODY, word.sender))
+            or not self._no_leader_alive(now)
+            or message.term <= self.ballot.term
+            and not (message.term == self.ballot.term and self.ballot.voted in (NOBODY, message.sender))
         ):
             return []
         if self.role != "follower":
             self._step_down(now)
-        self._keep(replace(self.ballot, term=word.term, voted=word.sender))
-        self._wait(now)
-        return [Keep(self.ballot), Tell(word.sender, Word("voted", self.name, word.term))]
+        self._store_ballot(replace(self.ballot, term=message.term, voted=message.sender))
+        self._reset_election_timer(now)
+        return [StoreBallot(self.ballot), SendToVoter(message.sender, CouncilMessage("voted", self.name, message.term))]
 
-    def _follow(self, now: float, word: Word) -> list[Effect]:
+    def _on_beat(self, now: float, message: CouncilMessage) -> list[Effect]:
         if self.role == "leader":
-            return []  # two of one term: never, and if it were, neither yields to the other's word
-        self.role, self.leader, self.heard_at = "follower", word.sender, now
-        self._wait(now)
-        if word.plan is not None and (self.plan is None or word.plan.epoch > self.plan.epoch):
-            self.plan = word.plan
-        if self.plan is not None and word.decided == self.plan.epoch:
-            self.learn(now, Renewal(self.plan, word.renewed, 0.0))
-        return [Tell(word.sender, Word("held", self.name, word.term, word.number))]
-
-    def learn(self, now: float, told: Renewal) -> bool:
-        """What rides on others' words: a plan in force. True if it was newer. Never back to an earlier epoch."""
+            return []  # a term never has two leaders; if it had, neither would yield to the other
+        self.role, self.leader, self.last_beat_at = "follower", message.sender, now
+        self._reset_election_timer(now)
+        if message.plan is not None and (self.plan is None or message.plan.epoch > self.plan.epoch):
+            self.plan = message.plan
+        if self.plan is not None and message.decided == self.plan.epoch:
+            self.learn(now, Renewal(self.plan, message.renewals, 0.0))
+        return [SendToVoter(message.sender, CouncilMessage("held", self.name, message.term, message.number))]
+
+    def learn(self, now: float, renewal: Renewal) -> bool:
+        """Takes over a plan in force that was received from another controller; true if it was newer or renewed. Never
+        returns to an earlier epoch."""
         self.now = now = max(self.now, now)
-        if told.seats.epoch > self.seats.epoch and told.seats.voters:
-            # Not kept on disk: it answered nobody by it.
-            self.ballot = replace(self.ballot, seats=told.seats)
-            self.voters = told.seats.voters
+        if renewal.voter_set.epoch > self.voter_set.epoch and renewal.voter_set.voters:
+            # Not stored on disk, as no answer depends on it.
+            self.ballot = replace(self.ballot, voter_set=renewal.voter_set)
+            self.voters = renewal.voter_set.voters
             if self.role != "follower":
                 self._step_down(now)
-        held = self.decided
-        if held is not None and (told.plan.epoch, told.renewed) <= (held.epoch, self.renewed):
+        current = self.decided
+        if current is not None and (renewal.plan.epoch, renewal.renewals) <= (current.epoch, self.renewals):
             return False
-        if held is not None and told.plan.epoch == held.epoch and told.plan != held:
+        if current is not None and renewal.plan.epoch == current.epoch and renewal.plan != current:
             return False
-        newer = held is None or told.plan.epoch > held.epoch
-        self.decided, self.renewed = (told.plan if newer else held), told.renewed
-        self.renewed_at = max(now - told.age, self.renewed_at) if not newer else now - told.age
-        if self.plan is None or self.plan.epoch < told.plan.epoch:
-            self.plan = told.plan
+        newer = current is None or renewal.plan.epoch > current.epoch
+        self.decided, self.renewals = (renewal.plan if newer else current), renewal.renewals
+        self.renewed_at = max(now - renewal.age, self.renewed_at) if not newer else now - renewal.age
+        if self.plan is None or self.plan.epoch < renewal.plan.epoch:
+            self.plan = renewal.plan
         return True
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -15,9 +15,9 @@
 from sprucespool.daemon.failover import FailoverCarrier
 from sprucespool.daemon.logs import open_log
 from sprucespool.daemon.snapshots import SnapshotFile
-from sprucespool.failover import Ballot, Keep, Seats, Tell
-from sprucespool.failover.codec import SaidError, ballot, kept
-from sprucespool.failover.council import Word
+from sprucespool.failover import Ballot, SendToVoter, StoreBallot, VoterSet
+from sprucespool.failover.codec import PlanMessageError, decode_ballot, encode_ballot
+from sprucespool.failover.council import CouncilMessage
 from sprucespool.gateway import Gateway, Recorder
 from sprucespool.gateway import messages as ms
 from sprucespool.gateway.record import batches
@@ -117,12 +117,15 @@
     )
     failover.others = lambda: [SimpleNamespace(name="other", address="127.0.0.1:1")]
     failover.failover = SimpleNamespace(name="me", epoch=0, take_events=list)
-    failover._send = lambda to, message: sent.append(message.word)
+    failover._send = lambda to, message: sent.append(message.council_message)
     return failover, sent
 
 
 def vote_effects(term: int):
-    return [Keep(Ballot(term, "other", Seats((0, 0), ("me", "other")))), Tell("other", Word("voted", "me", term))]
+    return [
+        StoreBallot(Ballot(term, "other", VoterSet((0, 0), ("me", "other")))),
+        SendToVoter("other", CouncilMessage("voted", "me", term)),
+    ]
 
 
 @pytest.mark.parametrize("how", ["missing folder", "ENOSPC"])
@@ -134,24 +137,24 @@
             FailingStep(patch, 1, OSError(errno.ENOSPC, "full"))
         failover._carry_out(vote_effects(3))
         assert sent == [] and failover.unstored_ballot is not None
-        failover._carry_out([Tell("other", Word("beat", "me", 3))])
+        failover._carry_out([SendToVoter("other", CouncilMessage("beat", "me", 3))])
         assert sent == []
     (tmp_path / "late").mkdir(exist_ok=True)
     failover._store_ballot(failover.file, failover.unstored_ballot)
-    assert failover.unstored_ballot is None and ballot(failover.file.read()).term == 3
+    assert failover.unstored_ballot is None and decode_ballot(failover.file.read()).term == 3
     failover._carry_out(vote_effects(4))
-    assert [word.term for word in sent] == [4] and ballot(failover.file.read()).term == 4
+    assert [word.term for word in sent] == [4] and decode_ballot(failover.file.read()).term == 4
 
 
 def test_a_truncated_or_damaged_ballot_is_detected_at_every_byte():
-    data = kept(Ballot(7, "other", Seats((0, 0), ("me", "other"))))
-    assert ballot(data).term == 7
+    data = encode_ballot(Ballot(7, "other", VoterSet((0, 0), ("me", "other"))))
+    assert decode_ballot(data).term == 7
     for end in range(len(data) - 1):
-        with pytest.raises(SaidError):
-            ballot(data[:end])
+        with pytest.raises(PlanMessageError):
+            decode_ballot(data[:end])
     for position in range(len(data) - 1):
-        with pytest.raises(SaidError):
-            ballot(data[:position] + bytes((data[position] ^ 1,)) + data[position + 1 :])
+        with pytest.raises(PlanMessageError):
+            decode_ballot(data[:position] + bytes((data[position] ^ 1,)) + data[position + 1 :])
 
 
 class FullDisk(io.BytesIO):
