--- a/sprucespool/cli/lab.py
+++ b/sprucespool/cli/lab.py
@@ -13,8 +13,8 @@
 from sprucespool.gateway import Gateway
 from sprucespool.lab.coursedays import MODULE_BUILDS
 from sprucespool.lab.defects import BUILDS, DEFECTS
-from sprucespool.lab.days import Played, begun, ended, sized
-from sprucespool.lab.hunting import Hunted, hunt, played
+from sprucespool.lab.days import DayResult, start_day, finish_day, scaled
+from sprucespool.lab.hunting import HuntResult, hunt, run_course
 from sprucespool.lab.sweep import SweepPlan, run
 from sprucespool.standin.baselines import DECIDERS, GATEWAYS
 from sprucespool.standin.script import Day
@@ -41,7 +41,7 @@
     return int(any(result.build == "sound" and result.small is not None for result in results))
 
 
-def _table(results: list[Hunted]) -> Table:
+def _table(results: list[HuntResult]) -> Table:
     broken_builds = sum(result.small is not None for result in results)
     table = Table(title=f"fault search in virtual time: {broken_builds} of {len(results)} builds broken")
     for name in ("build", "courses", "s", "broken first", "faults, shrunk to", "written to"):
@@ -58,7 +58,7 @@
 
 def run_replay(course: Course, module: bool = False) -> int:
     """Returns the exit status. Raises ValueError for an unknown build."""
-    replayed = played(course, module)
+    replayed = run_course(course, module)
     for invariant in replayed.broken:
         print(f"({invariant.which}) at {invariant.at / 1000:.1f} s: {invariant.what}")
     print(f"{len(course.faults)} faults, build {course.build}: {len(replayed.broken)} broken")
@@ -100,8 +100,8 @@
     if sockets and (controllers or invokers):
         raise ValueError("--sockets: cannot be combined with --controllers or --invokers")
     socket_result = _over_sockets(day, decider) if sockets else None
-    world = begun(
-        sized(day, invokers) if invokers else day,
+    world = start_day(
+        scaled(day, invokers) if invokers else day,
         DECIDERS[decider if decider in DECIDERS else "hiku"],
         controllers,
         GATEWAYS.get(decider, Gateway),
@@ -113,14 +113,14 @@
         write_world(world, save)
         print(f"{day.name}: stands at {at / 1000:.1f} s in {save}")
         return 0
-    return _print_result(ended(world), json, socket_result)
+    return _print_result(finish_day(world), json, socket_result)
 
 
 def run_go_on(path: Path, json: bool) -> int:
     """Returns the exit status. Raises SavedError, OSError."""
     from sprucespool.lab.saving import load
 
-    return _print_result(ended(load(path)), json, None)
+    return _print_result(finish_day(load(path)), json, None)
 
 
 def _over_sockets(day: Day, decider: str) -> dict:
@@ -132,7 +132,7 @@
         raise ValueError(f"the day was not played over sockets: {error}") from None
 
 
-def _print_result(result: Played, json: bool, socket_result: dict | None) -> int:
+def _print_result(result: DayResult, json: bool, socket_result: dict | None) -> int:
     metrics = result.as_dict()
     if json:
         print(
--- a/sprucespool/lab/compare.py
+++ b/sprucespool/lab/compare.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Compared:
+class Comparison:
     """One figure of one decider under one setting. `more`: by how much more than the first decider over the same
     seeds, with its interval; None for the first itself. `seeds` that count in it."""
 
@@ -46,7 +46,7 @@
     return means[int(cut * draws)], means[min(draws - 1, int((1 - cut) * draws))]
 
 
-def compared(rows: Iterable[Row]) -> list[Compared]:
+def compare_rows(rows: Iterable[Row]) -> list[Comparison]:
     """All figures, in the order of the rows' first coming; a seed that one of two lacks counts for neither."""
     found = []
     for (kind, case, controllers, invokers, loss), deciders in by_settings(rows).items():
@@ -69,7 +69,7 @@
                     if seed in base and (before := base[seed].figures.get(name)) is not None
                 ]
                 if who == order[0] or not pairs:
-                    found.append(Compared(*told))
+                    found.append(Comparison(*told))
                 else:
-                    found.append(Compared(*told, fmean(pairs), *interval(pairs)))
+                    found.append(Comparison(*told, fmean(pairs), *interval(pairs)))
     return found
--- a/sprucespool/lab/coursedays.py
+++ b/sprucespool/lab/coursedays.py
@@ -20,15 +20,15 @@
 
 # What a course goes on after its last fault; what its judges give the group and the view to settle.
 AFTER, SETTLES, FLEET_SETTLES = 50_000.0, 45_000.0, 20_000.0
-MOST_CONTROLLERS = 32
+MAX_CONTROLLERS = 32
 # The module's own, and those without one of its guards.
 MODULE_BUILDS = ("sound", *(name for name in DECIDERS if name.startswith("broken-")))
 
 
 def as_day(course: Course) -> Day:
     """Raises ValueError on a course that is too large for a day."""
-    if course.controllers > MOST_CONTROLLERS:
-        raise ValueError(f"controllers: expected at most {MOST_CONTROLLERS} in a day, got {course.controllers}")
+    if course.controllers > MAX_CONTROLLERS:
+        raise ValueError(f"controllers: expected at most {MAX_CONTROLLERS} in a day, got {course.controllers}")
     habits, zones = Habits(), [f"z{n}" for n in range(course.zones)]
     run = sum(habits.run) / 2
     rate = habits.load * course.invokers * habits.cores / (run / 1000.0)
@@ -76,7 +76,7 @@
     )
 
 
-def played(course: Course) -> Found:
+def run_course(course: Course) -> Found:
     """On the module, under the five rules besides. Raises ValueError on a build that the module's world has not."""
     if course.build not in MODULE_BUILDS:
         raise ValueError(f"build: expected one of {', '.join(MODULE_BUILDS)}, got {course.build!r}")
--- a/sprucespool/lab/days.py
+++ b/sprucespool/lab/days.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True)
-class Played:
+class DayResult:
     """What came of a day in virtual time. `settled` and `near` in ms from the last fault."""
 
     day: str
@@ -58,7 +58,7 @@
         }
 
 
-def sized(day: Day, invokers: int) -> Day:
+def scaled(day: Day, invokers: int) -> Day:
     """The same day for another fleet: as many of each kind of machine, as much traffic, as large a library as is its
     part."""
     had = sum(machines.count for machines in day.machines)
@@ -76,7 +76,7 @@
     return msgspec.structs.replace(day, machines=machines, traffics=traffics, library=library)
 
 
-def begun(
+def start_day(
     day: Day,
     decider: Callable[[it.Deployment, int], Decider] = Controller,
     controllers: int | None = None,
@@ -87,26 +87,26 @@
     world = DayWorld(day, decider, controllers, gateway, **kinds)
     if day.group is not None:
         world.looking(LOOK)
-    world.open_doors()
+    world.schedule_day()
     return world
 
 
-def ended(world: DayWorld) -> Played:
+def finish_day(world: DayWorld) -> DayResult:
     """Play it from where it stands to its end, and judge it. Raises StandsStill."""
     world.run(world.day.lasts + AFTER - world.now)
     world.notes += world.bad_links.all_over(world.now)
-    return _came(world)
+    return _judge_day(world)
 
 
-def play(day: Day, *how: Any, **kinds: Any) -> Played:
+def play(day: Day, *how: Any, **kinds: Any) -> DayResult:
     """As `begun`, to the end."""
-    return ended(begun(day, *how, **kinds))
+    return finish_day(start_day(day, *how, **kinds))
 
 
-def _came(world: DayWorld) -> Played:
+def _judge_day(world: DayWorld) -> DayResult:
     day, notes = world.day, world.notes
     groups = {group.name: GroupValue(group.slo_time, group.value, group.late_value) for group in day.model_groups}
-    found = Played(
+    found = DayResult(
         day.name, day.seed, world.controllers, score(notes, groups), judge(notes, facts(day)), events=next(world.number)
     )
     found.faults = sum(isinstance(one, seen.Count) and one.name == "module faults" for one in notes)
--- a/sprucespool/lab/hunting.py
+++ b/sprucespool/lab/hunting.py
@@ -10,14 +10,14 @@
 from pathlib import Path
 
 from sprucespool.emulator.hunt import Course, Found, drawn, guided, play, shrunk
-from sprucespool.lab.coursedays import MOST_CONTROLLERS, as_day
-from sprucespool.lab.coursedays import played as played_as_day
+from sprucespool.lab.coursedays import MAX_CONTROLLERS, as_day
+from sprucespool.lab.coursedays import run_course as run_course_as_day
 from sprucespool.lab.defects import BUILDS
 from sprucespool.settings import read, write
 
 
 @dataclass(slots=True)
-class Hunted:
+class HuntResult:
     """`tried`: courses until the first that broke something (all, if none did); `seconds` of wall time."""
 
     build: str
@@ -28,30 +28,30 @@
     path: Path | None = None
 
 
-def played(course: Course, module: bool = False) -> Found:
+def run_course(course: Course, module: bool = False) -> Found:
     """Of a build by its name: so that a course alone says all. `module`: as a day, on the module that decides."""
     if module:
-        return played_as_day(course)
+        return run_course_as_day(course)
     if course.build not in BUILDS:
         raise ValueError(f"build: expected one of {', '.join(BUILDS)}, got {course.build!r}")
     return play(course, BUILDS[course.build])
 
 
-def _drawn(job: tuple[int, str, int, bool]) -> Found:
+def _run_seed(job: tuple[int, str, int, bool]) -> Found:
     """`most` 0: a guided course."""
     seed, build, most, module = job
-    return played(drawn(seed, most, build) if most else guided(seed, build), module)
+    return run_course(drawn(seed, most, build) if most else guided(seed, build), module)
 
 
-def found_in(build: str, seeds: range, most: int, workers: int, module: bool = False) -> Iterator[Found]:
+def search(build: str, seeds: range, most: int, workers: int, module: bool = False) -> Iterator[Found]:
     """In order of seeds, whichever process ends first; `most` 0: guided courses instead of blind ones."""
     jobs = [(seed, build, most, module) for seed in seeds]
     if workers <= 1:
-        yield from map(_drawn, jobs)
+        yield from map(_run_seed, jobs)
         return
     with ProcessPoolExecutor(workers) as pool:
         try:
-            yield from pool.map(_drawn, jobs)
+            yield from pool.map(_run_seed, jobs)
         finally:
             pool.shutdown(wait=False, cancel_futures=True)
 
@@ -64,39 +64,41 @@
     folder: Path | None = None,
     progress: Callable[[str], None] = lambda line: None,
     module: bool = False,
-) -> Hunted:
+) -> HuntResult:
     """Until the first course that breaks something. Raises OSError where it can't be written down."""
     begun, tried = time.monotonic(), 0
-    for found in found_in(build, seeds, most, workers, module):
+    for found in search(build, seeds, most, workers, module):
         tried += 1
         if not found.broken:
             if tried % 10 == 0:
                 progress(f"{build}: {tried} of {len(seeds)} courses, nothing broken")
             continue
-        hunted = Hunted(build, tried, time.monotonic() - begun, found, shrunk(found, partial(played, module=module)))
+        hunted = HuntResult(
+            build, tried, time.monotonic() - begun, found, shrunk(found, partial(run_course, module=module))
+        )
         if folder is not None and hunted.small is not None:
             folder.mkdir(parents=True, exist_ok=True)
             hunted.path = folder / f"{build}-{found.course.seed}.kdl"
-            hunted.path.write_text(written(hunted.small))
-            if hunted.small.course.controllers <= MOST_CONTROLLERS:
-                hunted.path.with_suffix(".day.kdl").write_text(as_a_day(hunted.small))
+            hunted.path.write_text(course_text(hunted.small))
+            if hunted.small.course.controllers <= MAX_CONTROLLERS:
+                hunted.path.with_suffix(".day.kdl").write_text(day_text(hunted.small))
         return hunted
-    return Hunted(build, tried, time.monotonic() - begun)
+    return HuntResult(build, tried, time.monotonic() - begun)
 
 
-def written(found: Found) -> str:
+def course_text(found: Found) -> str:
     """A course as a file, with what it breaks."""
     told = "".join(f"// ({one.which}) {one.what}\n" for one in found.broken[:5])
     return told + write(found.course)
 
 
-def as_a_day(found: Found) -> str:
+def day_text(found: Found) -> str:
     """The same as a day's script, with what the course breaks."""
     told = "".join(f"// ({one.which}) {one.what}\n" for one in found.broken[:5])
     build = f"// Over sockets: sprucespool day --decider {found.course.build}\n" * (found.course.build != "sound")
     return told + build + write(as_day(found.course))
 
 
-def opened(path: Path) -> Course:
+def load_course(path: Path) -> Course:
     """Raises OSError, SettingsError with line and expectation."""
     return read(Course, path.read_text(encoding="utf-8"), str(path))
--- a/sprucespool/lab/report.py
+++ b/sprucespool/lab/report.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from sprucespool.emulator.plans import CASES, PlanWorld
-from sprucespool.lab.compare import SURE, Compared, compared
+from sprucespool.lab.compare import SURE, Comparison, compare_rows
 from sprucespool.lab.sweep import Job, Results, Row, SweepPlan, jobs
 from sprucespool.settings import read
 
@@ -26,7 +26,7 @@
 @dataclass(slots=True)
 class _Part:
     title: str
-    lines: list[Compared]
+    lines: list[Comparison]
     chart: Any = ""
     broken: list[str] = field(default_factory=list)
 
@@ -46,7 +46,7 @@
     return Markup(out.getvalue())
 
 
-def _chart(lines: list[Compared]) -> Any:
+def _chart(lines: list[Comparison]) -> Any:
     """By size where there are several, else by decider."""
     import altair
 
@@ -115,14 +115,14 @@
     )
 
 
-def _shown(kind: str, lines: list[Compared]) -> list[Compared]:
+def _shown(kind: str, lines: list[Comparison]) -> list[Comparison]:
     by_figure = [[one for one in lines if one.figure == name] for name in SHOWN[kind]]
     return next((some for some in by_figure if len({one.mean for one in some}) > 1), [])
 
 
 def _parts(rows: list[Row]) -> list[_Part]:
-    found: dict[tuple[str, str], list[Compared]] = {}
-    for one in compared(rows):
+    found: dict[tuple[str, str], list[Comparison]] = {}
+    for one in compare_rows(rows):
         found.setdefault((one.kind, one.case), []).append(one)
     parts = []
     for (kind, case), lines in found.items():
--- a/sprucespool/lab/sweep.py
+++ b/sprucespool/lab/sweep.py
@@ -19,7 +19,7 @@
 from sprucespool.emulator import plans as failover_cases
 from sprucespool.emulator.group import Virtual
 from sprucespool.lab.days import play as play_day
-from sprucespool.lab.days import sized
+from sprucespool.lab.days import scaled
 from sprucespool.settings import read, write
 from sprucespool.standin.baselines import DECIDERS
 from sprucespool.standin.recorded import with_recorded
@@ -188,7 +188,7 @@
 def _day(job: Job) -> tuple[dict[str, float | None], list[str]]:
     path = Path(job.case)
     day = with_recorded(read(Day, path.read_text(encoding="utf-8"), job.case), path.parent)
-    day = msgspec.structs.replace(sized(day, job.invokers), seed=job.seed)
+    day = msgspec.structs.replace(scaled(day, job.invokers), seed=job.seed)
     came = play_day(day, DECIDERS[job.decider], job.controllers)
     table = came.table
     return {
@@ -218,7 +218,7 @@
 }
 
 
-def played(job: Job) -> Row:
+def run_job(job: Job) -> Row:
     """Whatever goes wrong in one play ends that play alone."""
     begun = time.process_time()
     try:
@@ -338,11 +338,11 @@
 
 def _all(left: list[Job], workers: int) -> Iterator[Row]:
     if workers <= 1:
-        yield from map(played, left)
+        yield from map(run_job, left)
         return
     with ProcessPoolExecutor(workers) as pool:
         try:
-            for done in as_completed([pool.submit(played, job) for job in left]):
+            for done in as_completed([pool.submit(run_job, job) for job in left]):
                 yield done.result()
         finally:
             pool.shutdown(wait=False, cancel_futures=True)
@@ -371,7 +371,7 @@
     "SweepPlan",
     "by_settings",
     "jobs",
-    "played",
     "run",
+    "run_job",
     "settings_of",
 ]
--- a/sprucespool/lab/world.py
+++ b/sprucespool/lab/world.py
@@ -350,7 +350,7 @@
 
     # Clients
 
-    def open_doors(self) -> None:
+    def schedule_day(self) -> None:
         """All of the day's inferences to come, and its troubles."""
         for plan in self.asking.first():
             self._later(plan.at - self.now, partial(self._send_try, plan, 0, 0.0, -1))
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -11,7 +11,7 @@
 from sprucespool.emulator.hunt import KINDS, KINDS_GUIDED, Course, Fault, Found, drawn, guided, play, shrunk
 from sprucespool.judge.group import BrokenInvariant
 from sprucespool.lab.coursedays import as_day
-from sprucespool.lab.hunting import hunt, opened, played
+from sprucespool.lab.hunting import hunt, load_course, run_course
 from sprucespool.settings import read, write
 from sprucespool.standin.schedule import schedule
 from sprucespool.standin.script import Day
@@ -44,18 +44,18 @@
     assert found.small is not None and found.first is not None and found.path is not None
     assert len(found.small.course.faults) <= len(found.first.course.faults)
     assert "failover a" in found.small.which
-    course = opened(found.path)
-    assert course == found.small.course and played(course).broken == found.small.broken
+    course = load_course(found.path)
+    assert course == found.small.course and run_course(course).broken == found.small.broken
     replay = command("replay", found.path)
     assert replay.returncode == 1 and "(failover a) at" in replay.stdout
 
 
 def test_guided_courses_find_what_blind_ones_miss_and_the_sound_build_bears_them():
     """Ends that few controllers are told of; a leader by its own vote alone; a plan that nobody renews."""
-    assert "fleet c" in played(guided(1, "fleet-b")).which
-    assert "failover a" in played(guided(2, "council-minority")).which
-    assert "failover g" in played(guided(4, "council-endless")).which
-    assert all(played(guided(seed)).broken == [] for seed in (1, 2, 4))
+    assert "fleet c" in run_course(guided(1, "fleet-b")).which
+    assert "failover a" in run_course(guided(2, "council-minority")).which
+    assert "failover g" in run_course(guided(4, "council-endless")).which
+    assert all(run_course(guided(seed)).broken == [] for seed in (1, 2, 4))
     assert all(fault.at + fault.lasts <= 26_000.0 for seed in range(100) for fault in guided(seed).faults)
 
 
@@ -105,7 +105,7 @@
     span = command("hunt", "--seeds", "5-1")
     assert span.returncode == 2 and "expected FIRST-LAST" in span.stderr
     with pytest.raises(ValueError, match="build: expected one of sound"):
-        played(msgspec.structs.replace(drawn(1), build="oracle"))
+        run_course(msgspec.structs.replace(drawn(1), build="oracle"))
     (tmp_path / "file").write_text("")
     with pytest.raises(OSError):
         hunt("failover-e", range(1, 3), workers=1, folder=tmp_path / "file")
@@ -116,7 +116,7 @@
     day = as_day(course)
     assert read(Day, write(day), "day") == day and {one.kind for one in day.troubles} == {"hang", "controller-restart"}
     assert [one.what for one in day.troubles if one.at == day.troubles[-1].at] and day.lasts > 50_000.0
-    found = played(msgspec.structs.replace(course, faults=course.faults[:1]), module=True)
+    found = run_course(msgspec.structs.replace(course, faults=course.faults[:1]), module=True)
     assert found.broken == [] and found.events > 10_000
     for kind, where in KINDS_AND_PLACES.items():
         fault = Fault(kind, 6_000.0, 5_000.0, *where)
@@ -125,7 +125,7 @@
     with pytest.raises(ValueError, match="at most 32 in a day, got 300"):
         as_day(Course(controllers=300, invokers=120))
     with pytest.raises(ValueError, match="build: expected one of sound, broken-1"):
-        played(Course(build="group-a"), module=True)
+        run_course(Course(build="group-a"), module=True)
 
 
 KINDS_AND_PLACES = {
--- a/tests/test_lab_days.py
+++ b/tests/test_lab_days.py
@@ -22,8 +22,8 @@
 from sprucespool.faults import Links, LinkState
 from sprucespool.judge import seen
 from sprucespool.lab import saving, sweep
-from sprucespool.lab.compare import compared, interval
-from sprucespool.lab.days import begun, play, sized
+from sprucespool.lab.compare import compare_rows, interval
+from sprucespool.lab.days import start_day, play, scaled
 from sprucespool.lab.saving import SavedError
 from sprucespool.lab.sweep import Experiment, Job, Results, ResultsError, Row, SweepPlan
 from sprucespool.policy import Controller
@@ -75,7 +75,7 @@
 
 
 def test_time_that_stands_still_is_noticed_and_named(monkeypatch):
-    world = begun(script(SOUND))
+    world = start_day(script(SOUND))
     monkeypatch.setattr("sprucespool.emulator.group.MOST_AT_ONCE", 5_000)
 
     def again_and_again():
@@ -116,7 +116,7 @@
 
 
 def test_a_world_saved_in_the_middle_goes_on_to_the_same_bytes_in_another_process(tmp_path):
-    whole, half = (begun(read(Day, GROUP, "day")) for _ in range(2))
+    whole, half = (start_day(read(Day, GROUP, "day")) for _ in range(2))
     whole.run(9_000.0)
     half.run(3_700.0)
     saving.save(half, tmp_path / "world")
@@ -133,7 +133,7 @@
 
 
 def test_a_saved_world_that_cannot_be_gone_on_from_is_refused(tmp_path, monkeypatch):
-    path, world = tmp_path / "world", begun(script(SOUND))
+    path, world = tmp_path / "world", start_day(script(SOUND))
     saving.save(world, path)
     data = path.read_bytes()
     for bad, why in ((b"no world", "a saved world"), (data[:-9], "cut off"), (data[:30], "head")):
@@ -149,10 +149,10 @@
 
 def test_the_same_day_for_another_fleet_has_its_part_of_traffic():
     day = script(SOUND)
-    more = sized(day, 20)
+    more = scaled(day, 20)
     assert [one.count for one in more.machines] == [20]
     assert [one.rate for one in more.traffics] == [one.rate * 4 for one in day.traffics]
-    assert begun(more, controllers=5).controllers == 5
+    assert start_day(more, controllers=5).controllers == 5
 
 
 def test_links_are_bad_from_when_they_are_cut_lossy_or_slow_until_they_are_well():
@@ -218,14 +218,14 @@
         count.append(job)
         return fake(job)
 
-    monkeypatch.setattr(sweep, "played", counted)
+    monkeypatch.setattr(sweep, "run_job", counted)
     with pytest.raises(KeyboardInterrupt):
         sweep.run(PLAN, tmp_path, 1)
     # Ended in the middle of a line, too.
     with open(tmp_path / "rows.jsonl", "ab") as out:
         out.write(b'{"job": {"kind"')
     first, count[:] = list(count), []
-    monkeypatch.setattr(sweep, "played", lambda job: count.append(job) or fake(job))
+    monkeypatch.setattr(sweep, "run_job", lambda job: count.append(job) or fake(job))
     said = []
     rows = sweep.run(PLAN, tmp_path, 1, said.append)
     wanted = sweep.jobs(PLAN)
@@ -238,13 +238,13 @@
 
 
 def test_a_play_that_fails_ends_alone_and_says_why():
-    row = sweep.played(Job("day", "days/nowhere.kdl", "hiku", 3, 12, 0.0, 1))
+    row = sweep.run_job(Job("day", "days/nowhere.kdl", "hiku", 3, 12, 0.0, 1))
     assert row.problem.startswith("FileNotFoundError") and row.figures == {}
 
 
 def test_what_is_played_tells_figures_of_its_kind():
     found = [
-        sweep.played(job)
+        sweep.run_job(job)
         for job in sweep.jobs(
             SweepPlan(
                 "one",
@@ -330,7 +330,7 @@
 def test_deciders_are_compared_by_seed_and_only_over_seeds_that_both_have():
     rows = [fake(job) for job in sweep.jobs(PLAN) if job.kind == "failover"]
     rows.append(Row(Job("failover", "zone lost 5 s", "common", 6, 12, 0.0, 9), {"service": 99.0}))
-    today, common = compared(rows)
+    today, common = compare_rows(rows)
     assert (today.mean, today.more, today.seeds) == (1.5, None, 2)
     assert common.more == 0.25 == common.least == common.most and common.clear and common.seeds == 3
 
@@ -338,7 +338,7 @@
 def test_a_report_is_one_page_with_tables_charts_and_the_failover_over_time(tmp_path, monkeypatch):
     from sprucespool.lab import report as page
 
-    monkeypatch.setattr(sweep, "played", fake)
+    monkeypatch.setattr(sweep, "run_job", fake)
     monkeypatch.setattr(page, "SPAN", 14_000.0)
     sweep.run(PLAN, tmp_path, 1)
     told = page.report(tmp_path)
@@ -365,7 +365,7 @@
     """Seen at 120 invokers: each miss counted against its zone's health, all zones fell to a twenty-fifth, and the plan
     shed four fifths of all for as long as anybody looked."""
     day = read(Day, (ROOT / "days/region-lost.kdl").read_text(), "region-lost")
-    world = begun(
+    world = start_day(
         msgspec.structs.replace(
             day, troubles=[], lasts=6_000.0, library=msgspec.structs.replace(day.library, smooth=2, most=6)
         )
@@ -378,7 +378,7 @@
 
 def test_a_day_for_another_fleet_has_a_library_for_it():
     day = read(Day, (ROOT / "days/region-lost.kdl").read_text(), "region-lost")
-    large = sized(day, 180)
+    large = scaled(day, 180)
     assert sum(one.count for one in large.machines) == 180 and large.library.smooth == 10 * day.library.smooth
     assert large.library.most == 10 * day.library.most and large.traffics[0].rate == 10 * day.traffics[0].rate
 
@@ -406,13 +406,13 @@
 
 def test_users_ask_again_when_they_have_their_answer_and_less_where_answers_are_slow():
     quick, slow = play(with_users()), play(with_users('trouble "crawl" at="0s" lasts="7s" share=1.0 factor=8.0\n'))
-    world = begun(with_users())
+    world = start_day(with_users())
     world.run(20_000.0)
     most, each = open_at_most(world.notes)
     assert 1 < most <= 12 and len(each) == 12 and min(each.values()) > 3
     assert quick.broken == slow.broken == []
     assert slow.table.taken < 0.8 * quick.table.taken, "who waits does not ask"
-    again = begun(with_users())
+    again = start_day(with_users())
     again.run(20_000.0)
     assert digest(again) == digest(world)
 
