--- a/sprucespool/lab/world.py
+++ b/sprucespool/lab/world.py
@@ -1,8 +1,8 @@
-"""A day's script in virtual time, on what the daemon runs: `Gateway` and policy, `Group`, `Fleet`, `Failover`.
+"""Runs a day's script in virtual time on the daemon's own modules: `Gateway` and policy, `Group`, `Fleet`, `Failover`.
 
-What sockets carry in a stage of processes is handed over here, one event after the other from one seed; the worker and
-library models, clients' habits, the schedule of troubles and what is written down are those of the stage. No I/O, no
-clock.
+A discrete-event simulation that is deterministic for a seed. Events stand for what a stage of processes sends over
+sockets. The worker and library models, the clients' behaviour, the schedule of troubles and the recorded notes are the
+same as on the stage. Does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -40,96 +40,100 @@
 from sprucespool.standin.traffic import LEAST_WAIT, Asking, Plan, catalog, drawn, patience, repeated
 from sprucespool.wire import outcomes
 
-# One way between two processes of a machine, ms; what a piece that is lost costs until it is sent again.
-WAY, AGAIN = LinkState(0.2, 0.3), 200.0
-# A dead process is listed as gone after so long; a drained one is told to end after so long.
-NOTICED, TOLD_TO_END = 500.0, 200.0
-# Results of a streamed inference, and what lies between them.
-RESULTS, GAP = 5, 20.0
-CANNOT = {"go-away", "half-frame"}
+# The one-way link between two processes on a machine (ms), and the delay until a lost segment is retransmitted.
+LOCAL_LINK, RETRANSMIT_MS = LinkState(0.2, 0.3), 200.0
+# Delay until the roster lists a dead process as gone, and until a drained process is told to end.
+DEATH_LISTED_AFTER_MS, TERMINATE_AFTER_MS = 500.0, 200.0
+# Number of results of a streamed inference, and the time between two of them.
+STREAM_RESULTS, RESULT_GAP_MS = 5, 20.0
+UNSUPPORTED_TROUBLES = {"go-away", "half-frame"}
 
 
 @dataclass(slots=True, eq=False)
 class _Process:
-    """An invoker's process; another one may stand at its address later."""
+    """An invoker's process. A later process may have the same address."""
 
     slot: Slot
     box: Box
     boot: str
     worker: wk.Worker
-    numbers: int = 0
-    held: dict[wk.Job, _Held] = field(default_factory=dict)
+    arrival_count: int = 0
+    forwards: dict[wk.Job, _ArrivedForward] = field(default_factory=dict)
     withheld: list[wk.Finished] = field(default_factory=list)
-    looked_for: float = math.inf
+    next_check_at: float = math.inf
     up: bool = True
 
 
 @dataclass(slots=True, eq=False)
-class _Held:
-    """A forward at an invoker."""
+class _ArrivedForward:
+    """A forward that an invoker holds."""
 
-    one: Group
+    member: Group
     forward: int
     n: int
     id: str
 
 
 @dataclass(slots=True, eq=False)
-class _Out:
-    """A forward as its controller holds it."""
+class _PendingForward:
+    """The controller's state of a forward in flight."""
 
     address: str
     group: str
     zone: str
-    since: float
-    due: float
+    sent_at: float
+    deadline: float
     streaming: bool = False
-    at: tuple[_Process, wk.Job] | None = None
+    target: tuple[_Process, wk.Job] | None = None
 
 
 @dataclass(slots=True, eq=False)
 class _Order:
-    """An order to load as its controller knows it."""
+    """Tag of a load order at a worker: the controller that sent it and its number there."""
 
-    one: Group
+    member: Group
     number: int
 
 
 @dataclass(slots=True, eq=False)
-class _Fetching:
+class _FetchTag:
+    """Tag of a library fetch: the load that it is for."""
+
     process: _Process
     load: wk.Load
 
 
 @dataclass(slots=True, eq=False)
-class _Try:
+class _Request:
+    """A client's first request of an inference or a retry of it."""
+
     plan: Plan
     id: str
     nth: int
-    begun: float
+    started_at: float
     ttl: float
-    which: int
-    over: bool = False
+    controller: int
+    ended: bool = False
 
 
 @dataclass(slots=True, eq=False)
-class _Desk:
-    """A controller's gateway and what it has open."""
+class _Frontend:
+    """A controller's gateway with its open requests and forwards."""
 
     gateway: Gateway
     inputs: list[ms.Input] = field(default_factory=list)
-    taking: bool = False
+    delivery_scheduled: bool = False
     wake_at: float = math.inf
-    tries: dict[str, _Try] = field(default_factory=dict)
-    out: dict[int, _Out] = field(default_factory=dict)
+    requests: dict[str, _Request] = field(default_factory=dict)
+    pending_forwards: dict[int, _PendingForward] = field(default_factory=dict)
     sharing: tuple[int, float] = (0, 0.0)
-    # Invokers that a roster told it of by itself, where no view is kept.
-    ever: set[str] = field(default_factory=set)
+    # Addresses of all invokers that the roster has reported to this controller.
+    ever_listed: set[str] = field(default_factory=set)
 
 
 class DayWorld(PlanWorld):
-    """`controllers`: more of them than the script says, each zone with its part. Raises ValueError on a trouble that
-    has no meaning without connections."""
+    """The simulation of a day. `controllers` overrides the script's count; they are spread evenly over the zones.
+    Raises ValueError for a trouble that has no meaning without connections."""
 
     def __init__(
         self,
@@ -142,8 +146,8 @@
         if day.drawn:
             day.troubles = sorted([*day.troubles, *drawn(day, day.seed)], key=lambda trouble: trouble.at)
         for trouble in day.troubles:
-            if trouble.kind in CANNOT:
-                raise ValueError(f"trouble {trouble.kind}: not in virtual time, where nothing has connections")
+            if trouble.kind in UNSUPPORTED_TROUBLES:
+                raise ValueError(f"trouble {trouble.kind}: not supported in virtual time, which has no connections")
         if day.told != "none":
             raise ValueError(f"told: expected none in virtual time, got {day.told!r}")
         self.day, self.module, self.gateway_kind = day, decider, gateway
@@ -151,33 +155,33 @@
         self.controllers = controllers or day.controllers
         self.catalog = catalog(day)
         self.notes: list[seen.Seen] = []
-        self.desks: dict[Group, _Desk] = {}
+        self.frontends: dict[Group, _Frontend] = {}
         self.processes: dict[str, _Process] = {}
-        self.standing: dict[int, _Process] = {}
+        self.current_processes: dict[int, _Process] = {}
         self.model_groups = {group.name: group for group in day.model_groups}
         self.bound_tenants = {tenant.name for tenant in day.tenants if tenant.stay}
-        self.troubled = random.Random(day.seed * 100)
+        self.fault_chance = random.Random(day.seed * 100)
         self.client_chance = random.Random(day.seed + 77)
-        self.turn = itertools.count()
+        self.controller_order = itertools.count()
         self.asking = Asking(day)
         self.library = Library(LibraryFacts(day.library.smooth, day.library.most))
         self.library_due = math.inf
-        self.listed_due = 0.0
-        # What the roster said when, to be restored from.
-        self.copies: list[tuple[float, int, dict[str, Told]]] = []
+        self.last_publish_at = 0.0
+        # Time, version and rows of each state of the roster, for the trouble that restores an old one.
+        self.roster_history: list[tuple[float, int, dict[str, Told]]] = []
         self.views_kept = day.group is not None and day.group.view
         self.bad_links = BadLinks()
-        fleet, told = day.fleet, day.failover
+        fleet, failover = day.fleet, day.failover
         super().__init__(
             self.controllers,
             len(self.plan.slots),
             day.seed,
-            "common" if told is not None else "today",
+            "common" if failover is not None else "today",
             len(day.zones),
             1,
             Habits(1, cold_share=fleet.cold_share, warm_after=fleet.warm_after),
-            voters=tuple(told.voters.split(",")) if told is not None else (),
-            replace_after=told.replace_after if told is not None else 30_000.0,
+            voters=tuple(failover.voters.split(",")) if failover is not None else (),
+            replace_after=failover.replace_after if failover is not None else 30_000.0,
             lag=day.roster.lag,
             grace=fleet.drain_grace,
             group_limits=GroupLimits(period=day.group.period, ack_within=0.3 * day.group.period)
@@ -186,8 +190,8 @@
             **kinds,
         )
         self.share = self.views_kept
-        self.links.default = WAY
-        # Over a connection what is lost is sent again.
+        self.links.default = LOCAL_LINK
+        # These links have no loss: a connection retransmits what is lost.
         for n, distance in enumerate(day.distances if day.group else []):
             self.links.put(
                 f"distance {n}",
@@ -198,9 +202,9 @@
         for slot in self.plan.slots:
             box = self.boxes[f"w{slot.number}"]
             box.born = -3.6e6
-            self._stand(slot, box, False)
+            self._start_process(slot, box, False)
             self.rows[box.address] = self._row(box)
-        self.copies.append((0.0, self.version, dict(self.rows)))
+        self.roster_history.append((0.0, self.version, dict(self.rows)))
 
     def zone_of(self, number: int) -> str:
         return self.day.zones[number % len(self.day.zones)]
@@ -222,12 +226,12 @@
         number: int = 0,
         of: int = 1,
     ) -> Group:
-        one = super().join(name, address, zone, seeds, number, of)
+        member = super().join(name, address, zone, seeds, number, of)
         plan = ControllerPlan(
             listen="127.0.0.1:0",
             roster=RosterSource(watch="127.0.0.1:1"),
             model_groups=self.day.model_groups,
-            controller=At(number, self.controllers, one.about.zone, self.day.region_of(one.about.zone)),
+            controller=At(number, self.controllers, member.about.zone, self.day.region_of(member.about.zone)),
             tenants=self.day.tenants,
             fleet=self.day.fleet,
             forwards=self.day.forwards,
@@ -235,71 +239,74 @@
             answers=self.day.answers,
         )
         gateway = self.gateway_kind(
-            deployment(plan), self.day.seed * 10 + number, lambda effect: self._effect(one, effect), self.module
+            deployment(plan),
+            self.day.seed * 10 + number,
+            lambda effect: self._apply_effect(member, effect),
+            self.module,
         )
-        self.desks[one] = _Desk(gateway)
-        self._give(one, ms.Roster(it.News.RESTORED.value))
-        return one
+        self.frontends[member] = _Frontend(gateway)
+        self._queue_input(member, ms.Roster(it.News.RESTORED.value))
+        return member
 
     def kill(self, name: str) -> Group:
-        one = super().kill(name)
-        desk = self.desks.pop(one)
-        self.note(seen.Killed(self.now, one.about.number))
-        for tried in list(desk.tries.values()):
-            self._later(0.5, partial(self._unreached, tried, True))
-        for out in desk.out.values():
-            if out.at is not None:
-                self._cancelled(*out.at)
-        return one
-
-    def _tick(self, one: Group):
-        # Alone without a group: it says nothing and hears nothing.
+        member = super().kill(name)
+        frontend = self.frontends.pop(member)
+        self.note(seen.Killed(self.now, member.about.number))
+        for request in list(frontend.requests.values()):
+            self._later(0.5, partial(self._unreached, request, True))
+        for pending in frontend.pending_forwards.values():
+            if pending.target is not None:
+                self._cancel_at_invoker(*pending.target)
+        return member
+
+    def _tick(self, member: Group):
+        # Without a group a controller exchanges no messages with others.
         if self.day.group is not None:
-            super()._tick(one)
-            self._shared(one)
+            super()._tick(member)
+            self._update_sharing(member)
 
     def _heard(self, to: str, message: Any):
         super()._heard(to, message)
-        one = self.by_address.get(to)
-        if one is not None:
-            self._shared(one)
+        member = self.by_address.get(to)
+        if member is not None:
+            self._update_sharing(member)
 
-    def _shared(self, one: Group):
-        desk = self.desks.get(one)
-        if desk is None:
+    def _update_sharing(self, member: Group):
+        frontend = self.frontends.get(member)
+        if frontend is None:
             return
-        sharing = one.sharing()
-        if sharing != desk.sharing:
-            desk.sharing = sharing
-            self._give(one, ms.Sharing(*sharing))
-
-    def _forward(self, one: Group):
-        """Clients of the day come by its own plan, not by the world's rate."""
-
-    def _give(self, one: Group, given: ms.Input):
-        """To the gateway, with all else that comes in the same turn of its loop."""
-        desk = self.desks.get(one)
-        if desk is None:
+        sharing = member.sharing()
+        if sharing != frontend.sharing:
+            frontend.sharing = sharing
+            self._queue_input(member, ms.Sharing(*sharing))
+
+    def _forward(self, member: Group):
+        """Does nothing: the day's plan creates the clients' requests, not the base class's rate."""
+
+    def _queue_input(self, member: Group, gateway_input: ms.Input):
+        """Queues an input for the gateway; all inputs of one loop iteration are delivered as a batch."""
+        frontend = self.frontends.get(member)
+        if frontend is None:
             return
-        desk.inputs.append(given)
-        if not desk.taking:
-            desk.taking = True
-            self._later(0.0, partial(self._take, one, desk))
+        frontend.inputs.append(gateway_input)
+        if not frontend.delivery_scheduled:
+            frontend.delivery_scheduled = True
+            self._later(0.0, partial(self._deliver_inputs, member, frontend))
 
-    def _take(self, one: Group, desk: _Desk):
-        if self.desks.get(one) is not desk:
+    def _deliver_inputs(self, member: Group, frontend: _Frontend):
+        if self.frontends.get(member) is not frontend:
             return
-        if one.name in self.still:
-            return self._later(10.0, partial(self._take, one, desk))
-        desk.taking = False
-        inputs, desk.inputs = desk.inputs, []
-        desk.gateway.take(self._time(one), inputs)
+        if member.name in self.still:
+            return self._later(10.0, partial(self._deliver_inputs, member, frontend))
+        frontend.delivery_scheduled = False
+        inputs, frontend.inputs = frontend.inputs, []
+        frontend.gateway.take(self._time(member), inputs)
 
-    def _learned(self, one: Group, places: list[Place], doubts: list[Doubt]):
+    def _learned(self, member: Group, places: list[Place], doubts: list[Doubt]):
         if not self.views_kept:
             return
-        for given in gateway_inputs(places, doubts, self.fleets[one].version, self._time(one)):
-            self._give(one, given)
+        for gateway_input in gateway_inputs(places, doubts, self.fleets[member].version, self._time(member)):
+            self._queue_input(member, gateway_input)
 
     # The roster
 
@@ -313,81 +320,81 @@
     def publish(self, box: Box, gone: bool = False) -> None:
         row = self._row(box, gone)
         due = self.now + self.lag * self.chance.uniform(0.7, 1.3) + self.extra
-        # In order: who is gone is not listed again by what was on its way.
-        self.listed_due = due = max(due, self.listed_due + 0.01)
+        # Changes are published in order, so that an update still on its way does not list a removed process again.
+        self.last_publish_at = due = max(due, self.last_publish_at + 0.01)
         self._later(due - self.now, lambda: self._published(box, row))
 
     def _published(self, box: Box, row: Told):
         super()._published(box, row)
-        self.copies.append((self.now, self.version, dict(self.rows)))
+        self.roster_history.append((self.now, self.version, dict(self.rows)))
 
-    def _tell(self, one: Group, whole: bool, version: int, rows: list[Told], source: str = "roster"):
-        desk = self.desks.get(one)
-        if desk is None or not self._reaches(one):
+    def _tell(self, member: Group, whole: bool, version: int, rows: list[Told], source: str = "roster"):
+        frontend = self.frontends.get(member)
+        if frontend is None or not self._reaches(member):
             return
-        if one.name in self.still:
-            return self._later(50.0, lambda: self._tell(one, whole, version, rows, source))
-        number = one.about.number
+        if member.name in self.still:
+            return self._later(50.0, lambda: self._tell(member, whole, version, rows, source))
+        number = member.about.number
         for row in rows:
             self.note(seen.Told(self.now, number, *row.process, status_of(row)))
         if whole:
-            for address in sorted(desk.ever - {row.process[0] for row in rows}):
+            for address in sorted(frontend.ever_listed - {row.process[0] for row in rows}):
                 self.note(seen.Told(self.now, number, address, "", "gone"))
-        desk.ever |= {row.process[0] for row in rows}
+        frontend.ever_listed |= {row.process[0] for row in rows}
         if self.views_kept:
-            return super()._tell(one, whole, version, rows, source)
-        told = [
+            return super()._tell(member, whole, version, rows, source)
+        roster_rows = [
             ms.Row(row.process[0], row.zone, row.kind, row.cell, status_of(row), row.size, row.process[1], row.age)
             for row in rows
         ]
-        self._give(one, ms.Roster((it.News.REPLACE if whole else it.News.UPDATE).value, version, told))
+        self._queue_input(member, ms.Roster((it.News.REPLACE if whole else it.News.UPDATE).value, version, roster_rows))
 
-    def _break(self, one: Group):
-        was = one in self.minds and self.minds[one].connected
-        super()._break(one)
-        if was and not self.minds[one].connected and not self.views_kept:
-            self._give(one, ms.Roster(it.News.UNAVAILABLE.value))
+    def _break(self, member: Group):
+        was_connected = member in self.minds and self.minds[member].connected
+        super()._break(member)
+        if was_connected and not self.minds[member].connected and not self.views_kept:
+            self._queue_input(member, ms.Roster(it.News.UNAVAILABLE.value))
 
     # Clients
 
     def schedule_day(self) -> None:
-        """All of the day's inferences to come, and its troubles."""
+        """Schedules the day's inferences and troubles."""
         for plan in self.asking.first():
-            self._later(plan.at - self.now, partial(self._send_try, plan, 0, 0.0, -1))
+            self._later(plan.at - self.now, partial(self._send_request, plan, 0, 0.0, -1))
         for slot in self.plan.slots:
             for fault in self.plan.faults[slot.number]:
-                self._later(fault.at - self.now, partial(self._fault, slot.number, fault))
+                self._later(fault.at - self.now, partial(self._apply_fault, slot.number, fault))
         for step in self.plan.steps:
-            self.at(step.at, partial(self._step, step))
+            self.at(step.at, partial(self._apply_step, step))
 
-    def _send_try(self, plan: Plan, nth: int, begun: float, avoid: int):
+    def _send_request(self, plan: Plan, nth: int, started_at: float, avoid: int):
         group = self.model_groups[plan.group]
-        begun = begun or self.now
-        ttl = patience(plan, group, nth, begun, self.now)
+        started_at = started_at or self.now
+        ttl = patience(plan, group, nth, started_at, self.now)
         if ttl < LEAST_WAIT:
-            return self._next(plan)
-        which = next(self.turn) % self.controllers
-        if which == avoid:
-            which = (which + 1) % self.controllers
-        tried = _Try(plan, f"{plan.root}.{nth}", nth, begun, ttl, which)
-        self.note(seen.Sent(self.now, tried.id, plan.root, which, plan.group, ttl, plan.tenant, nth))
-        self._later(WAY.delay, partial(self._at_door, tried, self.now, self.now + ttl))
+            return self._schedule_next(plan)
+        controller = next(self.controller_order) % self.controllers
+        if controller == avoid:
+            controller = (controller + 1) % self.controllers
+        request = _Request(plan, f"{plan.root}.{nth}", nth, started_at, ttl, controller)
+        self.note(seen.Sent(self.now, request.id, plan.root, controller, plan.group, ttl, plan.tenant, nth))
+        self._later(LOCAL_LINK.delay, partial(self._request_arrives, request, self.now, self.now + ttl))
         wait = ttl + LISTEN_ON if plan.leaves_part is None else ttl * plan.leaves_part
-        self._later(wait, partial(self._waited, tried))
+        self._later(wait, partial(self._client_gives_up, request))
 
-    def _at_door(self, tried: _Try, sent: float, until: float):
-        if tried.over:
+    def _request_arrives(self, request: _Request, sent: float, until: float):
+        if request.ended:
             return
-        one = self.members.get(f"c{tried.which}")
-        if one is None:
-            return self._unreached(tried, False)
-        desk, plan = self.desks[one], tried.plan
-        desk.tries[tried.id] = tried
-        if one.name in self.still:
-            # It waits in the socket.
-            return self._later(10.0, partial(self._at_door, tried, sent, until))
+        member = self.members.get(f"c{request.controller}")
+        if member is None:
+            return self._unreached(request, False)
+        frontend, plan = self.frontends[member], request.plan
+        frontend.requests[request.id] = request
+        if member.name in self.still:
+            # The request waits in the socket of a stalled controller.
+            return self._later(10.0, partial(self._request_arrives, request, sent, until))
         call = ms.Call(
-            tried.id,
+            request.id,
             plan.group,
             plan.model,
             max(0.0, until - self.now),
@@ -396,277 +403,300 @@
             None,
             None,
             None,
-            bool(tried.nth) and self.day.clients.marked,
-            waited=max(0.0, self.now - sent - WAY.delay),
+            bool(request.nth) and self.day.clients.marked,
+            waited=max(0.0, self.now - sent - LOCAL_LINK.delay),
         )
         if self.day.failover is not None:
-            part, group = self.parts[one], self.model_groups[plan.group]
-            now, bound = self._time(one), bool(group.stay) or plan.tenant in self.bound_tenants
+            parts, group = self.parts[member], self.model_groups[plan.group]
+            now, bound = self._time(member), bool(group.stay) or plan.tenant in self.bound_tenants
             if not call.repeat:
-                part.meter.arrived(now, call.group, bound, call.work or group.slo_time / 4)
-            call.zones = part.steer.zones(now, part.failover.follow(now), bound, group.value)
-        self._give(one, call)
+                parts.meter.arrived(now, call.group, bound, call.work or group.slo_time / 4)
+            call.zones = parts.steer.zones(now, parts.failover.follow(now), bound, group.value)
+        self._queue_input(member, call)
 
-    def _waited(self, tried: _Try):
-        if tried.over:
+    def _client_gives_up(self, request: _Request):
+        if request.ended:
             return
-        tried.over = True
-        self.note((seen.NoAnswer if tried.plan.leaves_part is None else seen.LeftEarly)(self.now, tried.id))
-        one = self.members.get(f"c{tried.which}")
-        if one is not None and self.desks[one].tries.pop(tried.id, None) is not None:
-            self._later(WAY.delay, partial(self._give, one, ms.Left(tried.id)))
-        self._next(tried.plan)
-
-    def _next(self, plan: Plan):
-        """Where a user asked, it asks again."""
-        found = self.asking.after(plan, self.now)
-        if found is not None:
-            self._later(found.at - self.now, partial(self._send_try, found, 0, 0.0, -1))
-
-    def _unreached(self, tried: _Try, sent: bool):
-        if tried.over:
+        request.ended = True
+        self.note((seen.NoAnswer if request.plan.leaves_part is None else seen.LeftEarly)(self.now, request.id))
+        member = self.members.get(f"c{request.controller}")
+        if member is not None and self.frontends[member].requests.pop(request.id, None) is not None:
+            self._later(LOCAL_LINK.delay, partial(self._queue_input, member, ms.Left(request.id)))
+        self._schedule_next(request.plan)
+
+    def _schedule_next(self, plan: Plan):
+        """Schedules the next inference if this one came from a simulated user."""
+        next_plan = self.asking.after(plan, self.now)
+        if next_plan is not None:
+            self._later(next_plan.at - self.now, partial(self._send_request, next_plan, 0, 0.0, -1))
+
+    def _unreached(self, request: _Request, sent: bool):
+        if request.ended:
             return
-        tried.over = True
-        self.note(seen.Unreached(self.now, tried.id, sent))
-        self._repeat(tried, None, not sent, self.day.clients.wait)
+        request.ended = True
+        self.note(seen.Unreached(self.now, request.id, sent))
+        self._retry(request, None, not sent, self.day.clients.wait)
 
-    def _answer(self, one: Group, call: str, status: Status, message: str = "", pushback: float | None = None):
-        tried = self.desks[one].tries.pop(call, None)
-        if tried is not None:
-            self._later(WAY.delay, partial(self._answered, tried, status, message, pushback))
+    def _send_answer(self, member: Group, call: str, status: Status, message: str = "", pushback: float | None = None):
+        request = self.frontends[member].requests.pop(call, None)
+        if request is not None:
+            self._later(LOCAL_LINK.delay, partial(self._answer_arrives, request, status, message, pushback))
 
-    def _answered(self, tried: _Try, status: Status, message: str, pushback: float | None):
-        if tried.over:
+    def _answer_arrives(self, request: _Request, status: Status, message: str, pushback: float | None):
+        if request.ended:
             return
-        tried.over = True
-        self.note(seen.Answer(self.now, tried.id, int(status), message, pushback))
+        request.ended = True
+        self.note(seen.Answer(self.now, request.id, int(status), message, pushback))
         wait = self.day.clients.wait
         if status is Status.RESOURCE_EXHAUSTED:
             wait = max(wait, pushback or 0.0)
-        self._repeat(tried, status, False, wait)
+        self._retry(request, status, False, wait)
 
-    def _repeat(self, tried: _Try, status: Status | None, never_ran: bool, wait: float):
-        if repeated(tried.plan, self.model_groups[tried.plan.group], self.day.clients, tried.nth, status, never_ran):
+    def _retry(self, request: _Request, status: Status | None, never_ran: bool, wait: float):
+        if repeated(
+            request.plan, self.model_groups[request.plan.group], self.day.clients, request.nth, status, never_ran
+        ):
             self._later(
                 wait * self.client_chance.uniform(0.8, 1.2),
-                partial(self._send_try, tried.plan, tried.nth + 1, tried.begun, tried.which),
+                partial(self._send_request, request.plan, request.nth + 1, request.started_at, request.controller),
             )
         else:
-            self._next(tried.plan)
+            self._schedule_next(request.plan)
 
     # Effects
 
-    def _effect(self, one: Group, effect: ms.Effect):
+    def _apply_effect(self, member: Group, effect: ms.Effect):
         act = EFFECTS.get(type(effect))
         if act is not None:
-            act(self, one, effect)
+            act(self, member, effect)
 
-    def _wake_at(self, one: Group, effect: ms.WakeAt):
-        desk = self.desks[one]
-        desk.wake_at = effect.at
+    def _wake_at(self, member: Group, effect: ms.WakeAt):
+        frontend = self.frontends[member]
+        frontend.wake_at = effect.at
 
         def wake():
-            if self.desks.get(one) is desk and desk.wake_at == effect.at:
-                desk.wake_at = math.inf
-                self._give(one, ms.Woke())
+            if self.frontends.get(member) is frontend and frontend.wake_at == effect.at:
+                frontend.wake_at = math.inf
+                self._queue_input(member, ms.Woke())
 
-        self._later(max(0.0, effect.at - self._time(one)), wake)
+        self._later(max(0.0, effect.at - self._time(member)), wake)
 
-    def _carried(self, source: str, to: str, then: Callable[[], None], refused: Callable[[], None] | None = None):
-        """What goes over a connection: late where pieces are lost; nowhere while the link is cut."""
+    def _transmit(
+        self, source: str, to: str, on_arrival: Callable[[], None], on_refusal: Callable[[], None] | None = None
+    ):
+        """Sends over a connection: with an extra delay on a lossy link, and not at all while the link is cut."""
         state = self.links.between(source, to)
         if state.cut:
-            if state.cut in ("refused", "reset") and refused is not None:
-                self._later(1.0, refused)
+            if state.cut in ("refused", "reset") and on_refusal is not None:
+                self._later(1.0, on_refusal)
             return
-        again = AGAIN if state.loss and self.chance.random() < state.loss else 0.0
-        self._later(state.delay + self.chance.random() * state.jitter + again, then)
-
-    def _send_forward(self, one: Group, effect: ms.SendForward):
-        desk, now = self.desks[one], self._time(one)
-        tried = desk.tries.get(effect.call)
-        if tried is None:
-            return self._give(one, ms.ForwardEnded(effect.forward, it.Outcome.NOT_SENT.value))
-        place = self.fleets[one].told.get(effect.invoker)
-        desk.out[effect.forward] = _Out(
-            effect.invoker, tried.plan.group, place.zone if place else "", self.now, self.now + effect.time_out
+        retransmit_ms = RETRANSMIT_MS if state.loss and self.chance.random() < state.loss else 0.0
+        self._later(state.delay + self.chance.random() * state.jitter + retransmit_ms, on_arrival)
+
+    def _send_forward(self, member: Group, effect: ms.SendForward):
+        frontend, now = self.frontends[member], self._time(member)
+        request = frontend.requests.get(effect.call)
+        if request is None:
+            return self._queue_input(member, ms.ForwardEnded(effect.forward, it.Outcome.NOT_SENT.value))
+        place = self.fleets[member].told.get(effect.invoker)
+        frontend.pending_forwards[effect.forward] = _PendingForward(
+            effect.invoker, request.plan.group, place.zone if place else "", self.now, self.now + effect.time_out
         )
         if self.views_kept:
-            self.fleets[one].sent(now, effect.forward, effect.invoker)
-        ends = partial(self._forward_ends, one, effect.forward)
-        there = self.processes.get(effect.invoker)
-        name = there.box.name if there is not None else "nobody"
-        self._carried(one.name, name, lambda: self._came(one, effect, tried, name), lambda: ends("unconnected"))
-
-    def _came(self, one: Group, effect: ms.SendForward, tried: _Try, name: str):
-        process, desk = self.processes.get(effect.invoker), self.desks.get(one)
-        out = desk.out.get(effect.forward) if desk is not None else None
-        if desk is None or out is None:
-            return  # called off on its way
-        ends = partial(self._forward_ends, one, effect.forward)
+            self.fleets[member].sent(now, effect.forward, effect.invoker)
+        ends = partial(self._forward_ends, member, effect.forward)
+        target = self.processes.get(effect.invoker)
+        name = target.box.name if target is not None else "nobody"
+        self._transmit(
+            member.name, name, lambda: self._forward_arrives(member, effect, request, name), lambda: ends("unconnected")
+        )
+
+    def _forward_arrives(self, member: Group, effect: ms.SendForward, request: _Request, name: str):
+        process, frontend = self.processes.get(effect.invoker), self.frontends.get(member)
+        pending = frontend.pending_forwards.get(effect.forward) if frontend is not None else None
+        if frontend is None or pending is None:
+            return  # called off before it arrived
+        ends = partial(self._forward_ends, member, effect.forward)
         if process is None or not process.up:
-            return self._carried(name, one.name, lambda: ends("unconnected"))
-        process.numbers += 1
+            return self._transmit(name, member.name, lambda: ends("unconnected"))
+        process.arrival_count += 1
         job = wk.Job(
             effect.forward,
             effect.model,
-            tried.plan.work,
-            tried.plan.root if self.model_groups[tried.plan.group].effect == "deduped" else "",
+            request.plan.work,
+            request.plan.root if self.model_groups[request.plan.group].effect == "deduped" else "",
         )
-        process.held[job] = _Held(one, effect.forward, process.numbers, tried.id)
-        out.at = process, job
+        process.forwards[job] = _ArrivedForward(member, effect.forward, process.arrival_count, request.id)
+        pending.target = process, job
         self.note(
             seen.Came(
                 self.now,
                 process.box.address,
                 process.boot,
-                process.numbers,
-                tried.id,
-                one.about.number,
-                tried.plan.work,
+                process.arrival_count,
+                request.id,
+                member.about.number,
+                request.plan.work,
                 effect.model,
             )
         )
-        if self._on(process, "refuse"):
+        if self._active_fault(process, "refuse"):
             process.worker._weigh(self.now, job.work)
-            self._gone_from(process, job, "refused", "full")
+            self._end_at_invoker(process, job, "refused", "full")
         else:
             process.worker.arrive(self.now, job)
-        self._after(process)
+        self._apply_acts(process)
 
     def _forward_ends(
         self,
-        one: Group,
+        member: Group,
         number: int,
         outcome: str,
         process: _Process | None = None,
         job: wk.Job | None = None,
-        **told: Any,
+        **report: Any,
     ):
-        """The controller hears of a forward's end."""
-        desk = self.desks.get(one)
-        out = desk.out.get(number) if desk is not None else None
-        if desk is None or out is None:
+        """The controller is informed of a forward's end."""
+        frontend = self.frontends.get(member)
+        pending = frontend.pending_forwards.get(number) if frontend is not None else None
+        if frontend is None or pending is None:
             return
-        if one.name in self.still:
-            return self._later(10.0, lambda: self._forward_ends(one, number, outcome, process, job, **told))
+        if member.name in self.still:
+            return self._later(10.0, lambda: self._forward_ends(member, number, outcome, process, job, **report))
         found = job.found.replace("-", " ") if job is not None and outcome in ("returned", "full") else "untold"
-        tells = process is not None and job is not None and self.day.invokers.tells
-        if not tells:
+        reports = process is not None and job is not None and self.day.invokers.tells
+        if not reports:
             found = "untold"
         boot, draining, age = "", False, None
-        if tells and process is not None and outcome in ("returned", "full"):
+        if reports and process is not None and outcome in ("returned", "full"):
             boot, draining, age = process.boot, process.worker.draining, self.now - process.box.born
-        self._eyes_ended(one, number, out, outcome, found, boot, draining, age)
-        same = min(30, job.same_model) if tells and job is not None and outcome in ("returned", "full") else None
-        self._give(one, ms.ForwardEnded(number, outcome, found, bool(told.get("load_failed")), same))
+        self._observe_end(member, number, pending, outcome, found, boot, draining, age)
+        same_model = (
+            min(30, job.same_model) if reports and job is not None and outcome in ("returned", "full") else None
+        )
+        self._queue_input(member, ms.ForwardEnded(number, outcome, found, bool(report.get("load_failed")), same_model))
 
-    def _eyes_ended(
+    def _observe_end(
         self,
-        one: Group,
+        member: Group,
         number: int,
-        out: _Out,
+        pending: _PendingForward,
         outcome: str,
         found: str,
         boot: str = "",
         draining: bool = False,
         age: float | None = None,
     ):
-        now = self._time(one)
+        now = self._time(member)
         if self.views_kept:
-            self.fleets[one].ended(now, number, outcome, boot, draining, age)
-            self._fleet_do(one, [])
-        if self.day.failover is not None and out.zone and outcome not in ("called off", "not sent"):
-            part = self.parts[one]
-            part.steer.ended(now, out.zone, outcome in ("returned", "full", "miss", "error"))
-            part.meter.ended(
+            self.fleets[member].ended(now, number, outcome, boot, draining, age)
+            self._fleet_do(member, [])
+        if self.day.failover is not None and pending.zone and outcome not in ("called off", "not sent"):
+            parts = self.parts[member]
+            parts.steer.ended(now, pending.zone, outcome in ("returned", "full", "miss", "error"))
+            parts.meter.ended(
                 now,
-                out.group,
-                out.zone,
-                self.now - out.since,
+                pending.group,
+                pending.zone,
+                self.now - pending.sent_at,
                 outcome,
                 found in ("warm", "untold"),
-                self.model_groups[out.group].slo_time,
+                self.model_groups[pending.group].slo_time,
             )
 
-    def _recall(self, one: Group, effect: ms.Recall):
-        out = self.desks[one].out.pop(effect.forward, None)
-        if out is None:
+    def _recall(self, member: Group, effect: ms.Recall):
+        pending = self.frontends[member].pending_forwards.pop(effect.forward, None)
+        if pending is None:
             return
-        over = self.now >= out.due - 1.0 and not out.streaming
-        self._eyes_ended(
-            one, effect.forward, out, (it.Outcome.TIMED_OUT if over else it.Outcome.CALLED_OFF).value, "untold"
+        timed_out = self.now >= pending.deadline - 1.0 and not pending.streaming
+        self._observe_end(
+            member,
+            effect.forward,
+            pending,
+            (it.Outcome.TIMED_OUT if timed_out else it.Outcome.CALLED_OFF).value,
+            "untold",
         )
-        if out.at is not None:
-            process, job = out.at
-            self._carried(one.name, process.box.name, lambda: self._cancelled(process, job))
-
-    def _cancelled(self, process: _Process, job: wk.Job):
-        held = process.held.pop(job, None)
-        if held is not None and process.up:
-            self.note(seen.Went(self.now, process.box.address, process.boot, held.n, "cancelled"))
+        if pending.target is not None:
+            process, job = pending.target
+            self._transmit(member.name, process.box.name, lambda: self._cancel_at_invoker(process, job))
+
+    def _cancel_at_invoker(self, process: _Process, job: wk.Job):
+        arrived = process.forwards.pop(job, None)
+        if arrived is not None and process.up:
+            self.note(seen.Went(self.now, process.box.address, process.boot, arrived.n, "cancelled"))
             process.worker.cancel(self.now, job)
-            self._after(process)
+            self._apply_acts(process)
 
-    def _returned(self, one: Group, effect: ms.AnswerReturned):
-        self.desks[one].out.pop(effect.forward, None)
-        self._answer(one, effect.call, Status.OK)
+    def _answer_returned(self, member: Group, effect: ms.AnswerReturned):
+        self.frontends[member].pending_forwards.pop(effect.forward, None)
+        self._send_answer(member, effect.call, Status.OK)
 
-    def _stream_begun(self, one: Group, effect: ms.StreamBegun):
-        out = self.desks[one].out.get(effect.forward)
-        if out is not None:
-            out.streaming = True
+    def _stream_begun(self, member: Group, effect: ms.StreamBegun):
+        pending = self.frontends[member].pending_forwards.get(effect.forward)
+        if pending is not None:
+            pending.streaming = True
 
-    def _stream_ended(self, one: Group, effect: ms.StreamEnded):
-        self.desks[one].out.pop(effect.forward, None)
-        self._answer(one, effect.call, Status.OK if effect.whole else outcomes.FAILED)
+    def _stream_ended(self, member: Group, effect: ms.StreamEnded):
+        self.frontends[member].pending_forwards.pop(effect.forward, None)
+        self._send_answer(member, effect.call, Status.OK if effect.whole else outcomes.FAILED)
 
-    def _shed(self, one: Group, effect: ms.AnswerShed):
-        self._answer(one, effect.call, outcomes.SHED, "shed", float(round(effect.retry_after)))
+    def _answer_shed(self, member: Group, effect: ms.AnswerShed):
+        self._send_answer(member, effect.call, outcomes.SHED, "shed", float(round(effect.retry_after)))
 
-    def _failed(self, one: Group, effect: ms.AnswerFailed):
-        self._answer(one, effect.call, outcomes.FAILED_LATE if effect.late else outcomes.FAILED, "failed")
+    def _answer_failed(self, member: Group, effect: ms.AnswerFailed):
+        self._send_answer(member, effect.call, outcomes.FAILED_LATE if effect.late else outcomes.FAILED, "failed")
 
-    def _send_order(self, one: Group, effect: ms.SendOrder):
-        there = self.processes.get(effect.invoker)
-        name = there.box.name if there is not None else "nobody"
+    def _send_order(self, member: Group, effect: ms.SendOrder):
+        target = self.processes.get(effect.invoker)
+        name = target.box.name if target is not None else "nobody"
 
-        def came():
+        def arrive():
             process = self.processes.get(effect.invoker)
             if process is None or not process.up:
-                return self._carried(
-                    name, one.name, lambda: self._give(one, ms.OrderEnded(effect.order, "unconnected"))
+                return self._transmit(
+                    name, member.name, lambda: self._queue_input(member, ms.OrderEnded(effect.order, "unconnected"))
                 )
             self.note(
-                seen.Ordered(self.now, process.box.address, process.boot, one.about.number, effect.model, effect.copies)
+                seen.Ordered(
+                    self.now,
+                    process.box.address,
+                    process.boot,
+                    member.about.number,
+                    effect.model,
+                    effect.copies,
+                )
             )
-            if self._on(process, "hang") is None:
-                process.worker.order(self.now, wk.Ask(_Order(one, effect.order), effect.model, min(16, effect.copies)))
-                self._after(process)
+            if self._active_fault(process, "hang") is None:
+                process.worker.order(
+                    self.now, wk.Ask(_Order(member, effect.order), effect.model, min(16, effect.copies))
+                )
+                self._apply_acts(process)
 
-        self._carried(one.name, name, came, lambda: self._give(one, ms.OrderEnded(effect.order, "unconnected")))
+        self._transmit(
+            member.name, name, arrive, lambda: self._queue_input(member, ms.OrderEnded(effect.order, "unconnected"))
+        )
 
-    def _send_unload(self, one: Group, effect: ms.SendUnload):
+    def _send_unload(self, member: Group, effect: ms.SendUnload):
         process = self.processes.get(effect.invoker)
         if process is not None and process.up:
             worker = process.worker
 
-            def came():
+            def arrive():
                 worker.unload(self.now, effect.model)
 
-            self._carried(one.name, process.box.name, came)
+            self._transmit(member.name, process.box.name, arrive)
 
-    def _noted(self, one: Group, effect: ms.Note):
+    def _count_module_fault(self, member: Group, effect: ms.Note):
         if effect.fault:
             self.note(seen.Count(self.now, "module faults", 1))
 
     # Invokers
 
-    def _stand(self, slot: Slot, box: Box, cold: bool) -> _Process:
+    def _start_process(self, slot: Slot, box: Box, cold: bool) -> _Process:
         machines = slot.machines
         worker = wk.Worker(worker_facts(self.day, machines), self.catalog, self.now, cold=cold)
         process = _Process(slot, box, box.boot, worker)
-        self.processes[box.address] = self.standing[slot.number] = process
+        self.processes[box.address] = self.current_processes[slot.number] = process
         self.note(
             seen.Booted(
                 self.now, box.address, box.boot, machines.cores, machines.speed, cold, slot.zone, slot.cell, box.name
@@ -674,12 +704,12 @@
         )
         for fault in self.plan.faults[slot.number]:
             if fault.kind in ("crawl", "hang") and fault.at <= self.now < fault.at + fault.lasts:
-                self._later(0.0, partial(self._fault, slot.number, fault))
+                self._later(0.0, partial(self._apply_fault, slot.number, fault))
         return process
 
     def start(self, box: Box) -> None:
         super().start(box)
-        self._stand(self.plan.slots[int(box.name[1:])], box, True)
+        self._start_process(self.plan.slots[int(box.name[1:])], box, True)
 
     def down(self, box: Box) -> None:
         box.up = False
@@ -688,15 +718,17 @@
             return
         process.up = False
         self.note(seen.Died(self.now, box.address, process.boot))
-        for held in list(process.held.values()):
-            self._carried(box.name, held.one.name, partial(self._forward_ends, held.one, held.forward, "reset"))
-        process.held.clear()
+        for arrived in list(process.forwards.values()):
+            self._transmit(
+                box.name, arrived.member.name, partial(self._forward_ends, arrived.member, arrived.forward, "reset")
+            )
+        process.forwards.clear()
         for ask in process.worker.asks:
             order = ask.tag
             assert isinstance(order, _Order)
-            self._give(order.one, ms.OrderEnded(order.number, "reset"))
+            self._queue_input(order.member, ms.OrderEnded(order.number, "reset"))
 
-    def _on(self, process: _Process, kind: str) -> Fault | None:
+    def _active_fault(self, process: _Process, kind: str) -> Fault | None:
         return next(
             (
                 fault
@@ -706,8 +738,8 @@
             None,
         )
 
-    def _fault(self, number: int, fault: Fault):
-        process, ends = self.standing[number], fault.at + fault.lasts
+    def _apply_fault(self, number: int, fault: Fault):
+        process, ends = self.current_processes[number], fault.at + fault.lasts
         worker = process.worker
         if self.now >= ends and fault.kind != "flush" or not process.up:
             return
@@ -716,101 +748,113 @@
             self._later(ends - self.now, lambda: setattr(worker, "crawl", 1.0))
         elif fault.kind == "pauses":
             worker.stand_still(self.now, fault.span)
-            self._later(fault.every, partial(self._fault, number, fault))
+            self._later(fault.every, partial(self._apply_fault, number, fault))
         elif fault.kind == "flush":
-            part = fault.share * 2**32
-            worker.flush([model for model in worker.copies if zlib.crc32(model.encode()) < part])
+            hash_limit = fault.share * 2**32
+            worker.flush([model for model in worker.copies if zlib.crc32(model.encode()) < hash_limit])
         elif fault.kind == "hang":
-            self._later(ends - self.now, partial(self._unhang, process))
-        self._after(process)
+            self._later(ends - self.now, partial(self._end_hang, process))
+        self._apply_acts(process)
 
-    def _unhang(self, process: _Process):
+    def _end_hang(self, process: _Process):
         withheld, process.withheld = process.withheld, []
         for act in withheld:
             self._finished(process, act)
 
-    def _after(self, process: _Process):
-        """Carry out what the worker's last step left."""
+    def _apply_acts(self, process: _Process):
+        """Carries out the actions of the worker's last step and schedules its next check."""
         worker = process.worker
         while worker.acts and process.up:
             acts, worker.acts = worker.acts, []
             for act in acts:
                 ACTS[type(act)](self, process, act)
         due = worker.next_due()
-        if due < process.looked_for and process.up and not worker.fallen:
-            process.looked_for = due
-            self._later(max(0.0, due - self.now), partial(self._look_at, process, due))
-        if worker.draining and worker.idle and not process.held and process.up:
+        if due < process.next_check_at and process.up and not worker.fallen:
+            process.next_check_at = due
+            self._later(max(0.0, due - self.now), partial(self._check_worker, process, due))
+        if worker.draining and worker.idle and not process.forwards and process.up:
             self.down(process.box)
 
-    def _look_at(self, process: _Process, due: float):
-        # An earlier look has been there since, and set another one.
-        if process.up and process.looked_for == due:
-            process.looked_for = math.inf
+    def _check_worker(self, process: _Process, due: float):
+        # Otherwise an earlier check has run since and scheduled another one.
+        if process.up and process.next_check_at == due:
+            process.next_check_at = math.inf
             process.worker.look(self.now)
-            self._after(process)
+            self._apply_acts(process)
 
-    def _gone_from(self, process: _Process, job: wk.Job, how: str, outcome: str, **told: Any) -> None:
-        """A forward ends at its invoker; the word of it goes to its controller."""
-        held = process.held.pop(job, None)
-        if held is None:
+    def _end_at_invoker(self, process: _Process, job: wk.Job, how: str, outcome: str, **report: Any) -> None:
+        """Ends a forward at its invoker and informs the controller."""
+        arrived = process.forwards.pop(job, None)
+        if arrived is None:
             return
-        self.note(seen.Went(self.now, process.box.address, process.boot, held.n, how))
-        self._carried(
+        self.note(seen.Went(self.now, process.box.address, process.boot, arrived.n, how))
+        self._transmit(
             process.box.name,
-            held.one.name,
-            lambda: self._forward_ends(held.one, held.forward, outcome, process, job, **told),
+            arrived.member.name,
+            lambda: self._forward_ends(arrived.member, arrived.forward, outcome, process, job, **report),
         )
 
     def _finished(self, process: _Process, act: wk.Finished):
         job = act.job
-        if self._on(process, "hang"):
+        if self._active_fault(process, "hang"):
             process.withheld.append(act)
             return
-        held, lost = process.held.get(job), self._on(process, "answer-lost")
-        if held is None:
+        arrived, answer_lost = process.forwards.get(job), self._active_fault(process, "answer-lost")
+        if arrived is None:
             return
-        if lost and self.troubled.random() < lost.share:
-            return self._gone_from(process, job, "lost", "reset")
-        out = self.desks[held.one].out.get(held.forward) if held.one in self.desks else None
-        if out is not None and self.model_groups[out.group].streamed:
-            self._carried(process.box.name, held.one.name, lambda: self._give(held.one, ms.FirstResult(held.forward)))
-            return self._later((RESULTS - 1) * GAP, lambda: self._gone_from(process, job, "returned", "returned"))
-        self._gone_from(process, job, "returned", "returned")
+        if answer_lost and self.fault_chance.random() < answer_lost.share:
+            return self._end_at_invoker(process, job, "lost", "reset")
+        pending = (
+            self.frontends[arrived.member].pending_forwards.get(arrived.forward)
+            if arrived.member in self.frontends
+            else None
+        )
+        if pending is not None and self.model_groups[pending.group].streamed:
+            self._transmit(
+                process.box.name,
+                arrived.member.name,
+                lambda: self._queue_input(arrived.member, ms.FirstResult(arrived.forward)),
+            )
+            return self._later(
+                (STREAM_RESULTS - 1) * RESULT_GAP_MS, lambda: self._end_at_invoker(process, job, "returned", "returned")
+            )
+        self._end_at_invoker(process, job, "returned", "returned")
 
-    def _refused(self, process: _Process, act: wk.Refused):
-        self._gone_from(process, act.job, "refused", "full")
+    def _refuse(self, process: _Process, act: wk.Refused):
+        self._end_at_invoker(process, act.job, "refused", "full")
 
-    def _missed(self, process: _Process, act: wk.Missed):
-        self._gone_from(process, act.job, "missed", "miss", load_failed=act.load_failed and self.day.invokers.tells)
+    def _miss(self, process: _Process, act: wk.Missed):
+        self._end_at_invoker(
+            process, act.job, "missed", "miss", load_failed=act.load_failed and self.day.invokers.tells
+        )
 
-    def _settled(self, process: _Process, act: wk.Settled):
+    def _order_settled(self, process: _Process, act: wk.Settled):
         order = act.ask.tag
         assert isinstance(order, _Order)
-        ended = ms.OrderEnded(
+        order_ended = ms.OrderEnded(
             order.number, "returned" if act.stands else "full", act.standing if self.day.invokers.tells else 0
         )
-        self._carried(process.box.name, order.one.name, lambda: self._give(order.one, ended))
+        self._transmit(process.box.name, order.member.name, lambda: self._queue_input(order.member, order_ended))
 
-    def _fell(self, process: _Process, act: wk.Fell):
+    def _fall_over(self, process: _Process, act: wk.Fell):
         self.note(seen.PushedOver(self.now, process.box.address, process.boot, act.sent, act.allowed))
         self.down(process.box)
 
-    def _fetch(self, process: _Process, act: wk.FetchWanted):
+    def _start_fetch(self, process: _Process, act: wk.FetchWanted):
         self.note(seen.Count(self.now, "loads", 1))
         done = self.library.advance(self.now)
-        fetch = Fetch(_Fetching(process, act.load), act.load.info.fetch)
+        fetch = Fetch(_FetchTag(process, act.load), act.load.info.fetch)
         if not self.library.begin(fetch):
             self.note(seen.Count(self.now, "turned away", 1))
-            self._later(WAY.delay, partial(self._fetched, fetch, False))
+            self._later(LOCAL_LINK.delay, partial(self._fetched, fetch, False))
         self._library_done(done)
 
     def _fetched(self, fetch: Fetch, ok: bool):
-        asked = fetch.tag
-        assert isinstance(asked, _Fetching)
-        if asked.process.up:
-            asked.process.worker.fetched(self.now, asked.load, ok)
-            self._after(asked.process)
+        tag = fetch.tag
+        assert isinstance(tag, _FetchTag)
+        if tag.process.up:
+            tag.process.worker.fetched(self.now, tag.load, ok)
+            self._apply_acts(tag.process)
 
     def _library_done(self, done: list[Fetch]):
         for fetch in done:
@@ -819,54 +863,54 @@
         if due < self.library_due or self.library_due <= self.now:
             self.library_due = due
             if due < math.inf:
-                self._later(due - self.now, self._library_look)
+                self._later(due - self.now, self._check_library)
 
-    def _library_look(self):
+    def _check_library(self):
         self.library_due = math.inf
         self._library_done(self.library.advance(self.now + 1e-6))
 
     # Troubles
 
-    def _step(self, step: Step):
+    def _apply_step(self, step: Step):
         act = STEPS.get(step.what)
         if act is None:
-            raise ValueError(f"no such step in virtual time: {step.what}")
+            raise ValueError(f"step not supported in virtual time: {step.what}")
         act(self, step)
 
     def _replace(self, step: Step):
-        """Its successor starts elsewhere while it ends what it has."""
-        old = self.standing[step.target]
-        self._renew_at(old, lambda: self._start_new(step), f"{old.box.address}+")
+        """Starts a successor at another address while the old process finishes its forwards."""
+        old = self.current_processes[step.target]
+        self._drain_and_end(old, lambda: self._start_new(step), f"{old.box.address}+")
 
     def _renew(self, step: Step):
-        old = self.standing[step.target]
-        self._renew_at(old, None, old.box.address)
+        old = self.current_processes[step.target]
+        self._drain_and_end(old, None, old.box.address)
 
-    def _renew_at(self, old: _Process, anew: Callable[[], None] | None, address: str):
+    def _drain_and_end(self, old: _Process, start_successor: Callable[[], None] | None, address: str):
         self.drain(old.box)
 
-        def told_to_end():
+        def terminate():
             if not old.up:
                 return
             old.worker.draining = True
-            if anew is not None:
-                anew()
-            self._after(old)
+            if start_successor is not None:
+                start_successor()
+            self._apply_acts(old)
             self._later(10_000.0, lambda: self.down(old.box) if old.up else None)
-            self._ended_then(old, anew is None)
+            self._after_end(old, start_successor is None)
 
-        self._later(TOLD_TO_END, told_to_end)
+        self._later(TERMINATE_AFTER_MS, terminate)
 
-    def _ended_then(self, old: _Process, again: bool):
+    def _after_end(self, old: _Process, restart: bool):
         if old.up:
-            return self._later(10.0, partial(self._ended_then, old, again))
-        if again:
+            return self._later(10.0, partial(self._after_end, old, restart))
+        if restart:
             self.start(old.box)
         elif self.processes.get(old.box.address) is old:
             self.publish(old.box, gone=True)
 
     def _start_new(self, step: Step):
-        """A cold process at an address of its own."""
+        """Starts a cold process at an address of its own."""
         slot = self.plan.slots[step.target]
         count = sum(box.name == f"i{slot.number}" for box in self.boxes.values())
         box = Box(f"i{slot.number}", f"w{slot.number}+{count}", slot.zone, "", self.now, up=False)
@@ -874,10 +918,10 @@
         self.start(box)
 
     def _kill_step(self, step: Step):
-        process = self.standing[step.target]
+        process = self.current_processes[step.target]
         boot = process.boot
         self.down(process.box)
-        self._later(NOTICED, partial(self._found_gone, process.box, boot))
+        self._later(DEATH_LISTED_AFTER_MS, partial(self._found_gone, process.box, boot))
 
     def _stall(self, step: Step):
         name = f"c{step.target}"
@@ -887,12 +931,12 @@
         self.changed()
         began = self.now
 
-        def goes_on():
+        def resume():
             self.hold({name}, False)
             self.note(seen.Stalled(began, step.target, self.now))
             self.changed()
 
-        self._later(step.span, goes_on)
+        self._later(step.span, resume)
 
     def _controller_kill(self, step: Step):
         if f"c{step.target}" in self.members:
@@ -905,22 +949,22 @@
 
     def _roster_old(self, step: Step):
         _, self.version, rows = max(
-            (one for one in self.copies if one[0] <= self.now - step.figure),
-            default=self.copies[0],
-            key=lambda one: one[0],
+            (snapshot for snapshot in self.roster_history if snapshot[0] <= self.now - step.figure),
+            default=self.roster_history[0],
+            key=lambda snapshot: snapshot[0],
         )
         self.rows = dict(rows)
         self.roster_down()
         self._later(100.0, lambda: setattr(self, "roster_up", True))
 
     def _drain_zone(self, step: Step):
-        """The operators' command, asked of whoever leads; again while nobody does or the figures say no."""
+        """Gives the operators' command to the leader; repeats it for 15 s while there is none or it refuses."""
         until = self.now + 15_000.0
 
         def ask():
-            for one, part in self.parts.items():
-                if part.failover.council.leads(self._time(one)):
-                    if not part.failover.drain(step.name, step.what == "drain-zone", False):
+            for member, parts in self.parts.items():
+                if parts.failover.council.leads(self._time(member)):
+                    if not parts.failover.drain(step.name, step.what == "drain-zone", False):
                         return
             if self.now < until:
                 self._later(500.0, ask)
@@ -933,12 +977,12 @@
         elif len(step.sides) > 2:
             self.links.partition(step.name, step.sides, step.state.cut)
         else:
-            one, other = step.sides
-            self.links.put(step.name, one, other, step.state, step.both)
+            side, other_side = step.sides
+            self.links.put(step.name, side, other_side, step.state, step.both)
         self.changed()
 
     def changed(self) -> None:
-        """Links or who is held changed: for the judges, and for those whose connections broke."""
+        """Records a change of links or stalled controllers for the judge, and breaks the connections concerned."""
         sides, uneven = parted(self.links, (f"c{n}" for n in range(self.controllers)))
         self.noted.append(Faulted(self.now, sides, sorted(self.still), uneven))
         self.notes += self.bad_links.look(self.now, self.links, range(self.controllers), self.places)
@@ -958,31 +1002,31 @@
 EFFECTS: dict[type, Callable[[DayWorld, Group, Any], None]] = {
     ms.SendForward: DayWorld._send_forward,
     ms.Recall: DayWorld._recall,
-    ms.AnswerReturned: DayWorld._returned,
+    ms.AnswerReturned: DayWorld._answer_returned,
     ms.StreamBegun: DayWorld._stream_begun,
     ms.StreamEnded: DayWorld._stream_ended,
-    ms.AnswerShed: DayWorld._shed,
-    ms.AnswerFailed: DayWorld._failed,
+    ms.AnswerShed: DayWorld._answer_shed,
+    ms.AnswerFailed: DayWorld._answer_failed,
     ms.SendOrder: DayWorld._send_order,
     ms.SendUnload: DayWorld._send_unload,
     ms.WakeAt: DayWorld._wake_at,
-    ms.Note: DayWorld._noted,
-    ms.Rejected: lambda world, one, effect: world._answer(one, effect.call, outcomes.MALFORMED, effect.why),
+    ms.Note: DayWorld._count_module_fault,
+    ms.Rejected: lambda world, member, effect: world._send_answer(member, effect.call, outcomes.MALFORMED, effect.why),
 }
 ACTS: dict[type, Callable[[DayWorld, _Process, Any], None]] = {
     wk.Finished: DayWorld._finished,
-    wk.Refused: DayWorld._refused,
-    wk.Missed: DayWorld._missed,
-    wk.Settled: DayWorld._settled,
-    wk.Fell: DayWorld._fell,
-    wk.FetchWanted: DayWorld._fetch,
+    wk.Refused: DayWorld._refuse,
+    wk.Missed: DayWorld._miss,
+    wk.Settled: DayWorld._order_settled,
+    wk.Fell: DayWorld._fall_over,
+    wk.FetchWanted: DayWorld._start_fetch,
 }
 
 
-def _library(**what: Any) -> Callable[[DayWorld, Step], None]:
+def _set_library(**changes: Any) -> Callable[[DayWorld, Step], None]:
     def act(world: DayWorld, step: Step):
         world._library_done(world.library.advance(world.now))
-        for name, value in what.items():
+        for name, value in changes.items():
             setattr(world.library, name, step.figure if value is None else value)
         world._library_done([])
 
@@ -993,16 +1037,16 @@
     "replace": DayWorld._replace,
     "renew": DayWorld._renew,
     "kill": DayWorld._kill_step,
-    "listed-draining": lambda world, step: world.drain(world.standing[step.target].box),
-    "restart": lambda world, step: world.start(world.standing[step.target].box),
+    "listed-draining": lambda world, step: world.drain(world.current_processes[step.target].box),
+    "restart": lambda world, step: world.start(world.current_processes[step.target].box),
     "start-new": DayWorld._start_new,
     "roster-old": DayWorld._roster_old,
     "roster-lag": lambda world, step: setattr(world, "extra", step.figure),
     "roster-down": lambda world, step: world.roster_down(),
     "roster-up": lambda world, step: world.roster_down(False),
-    "library-slow": _library(slow=None),
-    "library-down": _library(down=True),
-    "library-up": _library(down=False),
+    "library-slow": _set_library(slow=None),
+    "library-down": _set_library(down=True),
+    "library-up": _set_library(down=False),
     "stall": DayWorld._stall,
     "controller-kill": DayWorld._controller_kill,
     "controller-start": DayWorld._controller_start,
