--- a/sprucespool/lab/__init__.py
+++ b/sprucespool/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments on the whole fleet in virtual time: fault search and its reports. Not needed to serve."""
+"""Experiments on the whole fleet in virtual time: fault search, days, sweeps and reports. Not needed to serve."""
--- a/sprucespool/lab/compare.py
+++ b/sprucespool/lab/compare.py
@@ -1,4 +1,4 @@
-"""Deciders against each other by seed: means and intervals of differences. No I/O; the draws come from a fixed seed."""
+"""Compares deciders seed by seed: means, and bootstrap intervals of differences. No I/O; the random seed is fixed."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 from sprucespool.lab.sweep import KINDS, Row, by_settings
 
-DRAWS, SURE = 2_000, 0.95
+BOOTSTRAP_DRAWS, CONFIDENCE = 2_000, 0.95
 
 
 @dataclass(frozen=True, slots=True)
 class Comparison:
-    """One figure of one decider under one setting. `more`: by how much more than the first decider over the same
-    seeds, with its interval; None for the first itself. `seeds` that count in it."""
+    """One metric of one decider under one setting. `more` is the mean difference to the first decider over the same
+    seeds, from `least` to `most` by its interval; None for the first decider itself. `seeds`: how many were counted."""
 
     kind: str
     case: str
@@ -32,44 +32,48 @@
 
     @property
     def clear(self) -> bool:
-        """Whether the interval leaves no doubt on which side of none the difference is."""
+        """Whether the interval excludes zero."""
         return self.least is not None and self.most is not None and (self.least > 0 or self.most < 0)
 
 
-def interval(differences: Sequence[float], sure: float = SURE, draws: int = DRAWS) -> tuple[float, float]:
-    """Of the mean: percentiles of means of samples drawn with replacement. Raises ValueError on none at all."""
+def interval(
+    differences: Sequence[float], confidence: float = CONFIDENCE, draws: int = BOOTSTRAP_DRAWS
+) -> tuple[float, float]:
+    """Bootstrap interval of the mean: percentiles of the means of samples drawn with replacement. Raises ValueError for
+    an empty sequence."""
     if not differences:
         raise ValueError("expected at least one difference")
-    chance, many = random.Random(0), len(differences)
-    means = sorted(fmean(chance.choices(differences, k=many)) for _ in range(draws))
-    cut = (1 - sure) / 2
-    return means[int(cut * draws)], means[min(draws - 1, int((1 - cut) * draws))]
+    chance, count = random.Random(0), len(differences)
+    means = sorted(fmean(chance.choices(differences, k=count)) for _ in range(draws))
+    tail = (1 - confidence) / 2
+    return means[int(tail * draws)], means[min(draws - 1, int((1 - tail) * draws))]
 
 
 def compare_rows(rows: Iterable[Row]) -> list[Comparison]:
-    """All figures, in the order of the rows' first coming; a seed that one of two lacks counts for neither."""
-    found = []
+    """Compares all metrics, in the order in which they first appear in the rows. A difference counts only seeds for
+    which both deciders have a value."""
+    comparisons = []
     for (kind, case, controllers, invokers, loss), deciders in by_settings(rows).items():
         order = [name for name in KINDS[kind][1] if name in deciders]
         base = deciders[order[0]]
-        for who in order:
-            names = dict.fromkeys(name for row in deciders[who].values() for name in row.figures)
+        for decider in order:
+            names = dict.fromkeys(name for row in deciders[decider].values() for name in row.figures)
             for name in names:
                 values = {
                     seed: value
-                    for seed, row in sorted(deciders[who].items())
+                    for seed, row in sorted(deciders[decider].items())
                     if (value := row.figures.get(name)) is not None
                 }
                 if not values:
                     continue
-                told = kind, case, controllers, invokers, loss, who, name, fmean(values.values()), len(values)
-                pairs = [
-                    value - before
+                fields = kind, case, controllers, invokers, loss, decider, name, fmean(values.values()), len(values)
+                differences = [
+                    value - base_value
                     for seed, value in values.items()
-                    if seed in base and (before := base[seed].figures.get(name)) is not None
+                    if seed in base and (base_value := base[seed].figures.get(name)) is not None
                 ]
-                if who == order[0] or not pairs:
-                    found.append(Comparison(*told))
+                if decider == order[0] or not differences:
+                    comparisons.append(Comparison(*fields))
                 else:
-                    found.append(Comparison(*told, fmean(pairs), *interval(pairs)))
-    return found
+                    comparisons.append(Comparison(*fields, fmean(differences), *interval(differences)))
+    return comparisons
--- a/sprucespool/lab/coursedays.py
+++ b/sprucespool/lab/coursedays.py
@@ -1,7 +1,8 @@
-"""A course of the fault search as a day: the same faults at the same times, played on the module and over sockets.
+"""Converts a course of the fault search to a day with the same faults at the same times, for the module and sockets.
 
-What has no twin in a day comes nearest: a controller that leaves and comes back is killed and comes back, clients that
-ask more in one zone do so everywhere, and half of a zone's invokers are replaced one after the other.
+Faults without an exact equivalent in a day get the nearest one: a controller that leaves and returns is killed and
+restarted, a rise of requests in one zone becomes a rise in all zones, and half of a zone's invokers are replaced one
+after the other.
 """
 
 from __future__ import annotations
@@ -18,25 +19,25 @@
 from sprucespool.standin.baselines import DECIDERS, GATEWAYS
 from sprucespool.standin.script import Day, DayFailover, DayGroup, Machines, RosterHabits, Traffic, Trouble
 
-# What a course goes on after its last fault; what its judges give the group and the view to settle.
-AFTER, SETTLES, FLEET_SETTLES = 50_000.0, 45_000.0, 20_000.0
+# Time that a course runs on after its last fault, and the judge's bounds for the group and the fleet view to settle.
+RUN_ON_MS, GROUP_SETTLE_MS, FLEET_SETTLE_MS = 50_000.0, 45_000.0, 20_000.0
 MAX_CONTROLLERS = 32
-# The module's own, and those without one of its guards.
+# The unchanged module, and the builds that lack one of its guards.
 MODULE_BUILDS = ("sound", *(name for name in DECIDERS if name.startswith("broken-")))
 
 
 def as_day(course: Course) -> Day:
-    """Raises ValueError on a course that is too large for a day."""
+    """Raises ValueError for a course that has too many controllers for a day."""
     if course.controllers > MAX_CONTROLLERS:
         raise ValueError(f"controllers: expected at most {MAX_CONTROLLERS} in a day, got {course.controllers}")
     habits, zones = Habits(), [f"z{n}" for n in range(course.zones)]
     run = sum(habits.run) / 2
     rate = habits.load * course.invokers * habits.cores / (run / 1000.0)
-    last = max((fault.at + fault.lasts for fault in course.faults), default=0.0)
-    troubles = [trouble for fault in course.faults for trouble in TWINS[fault.kind](course, fault)]
+    last_end = max((fault.at + fault.lasts for fault in course.faults), default=0.0)
+    troubles = [trouble for fault in course.faults for trouble in CONVERTERS[fault.kind](course, fault)]
     return Day(
         f"{course.build}-{course.seed}",
-        last + AFTER,
+        last_end + RUN_ON_MS,
         [Machines("plain", course.invokers, habits.cores)],
         [Group("line", 600.0, 1_500.0), Group("home", 600.0, 1_500.0, effect="non-retriable", stay="region")],
         [
@@ -46,7 +47,7 @@
         seed=course.seed,
         controllers=course.controllers,
         zones=zones,
-        # Limits that bind, so that a module without one of its guards is told.
+        # Limits that are tight enough to expose a module that lacks one of its guards.
         fleet=Fleet(
             drain_grace=500.0,
             cold_share=habits.cold_share,
@@ -58,55 +59,55 @@
         roster=RosterHabits(lag=300.0),
         troubles=sorted(troubles, key=lambda trouble: trouble.at),
         group=DayGroup(
-            alike_within=SETTLES,
-            cleared_within=SETTLES,
-            dead_within=SETTLES,
+            alike_within=GROUP_SETTLE_MS,
+            cleared_within=GROUP_SETTLE_MS,
+            dead_within=GROUP_SETTLE_MS,
             view=True,
-            fleet_alike_within=FLEET_SETTLES,
-            spread_within=FLEET_SETTLES,
-            replaced_within=FLEET_SETTLES,
+            fleet_alike_within=FLEET_SETTLE_MS,
+            spread_within=FLEET_SETTLE_MS,
+            replaced_within=FLEET_SETTLE_MS,
         ),
         failover=DayFailover(
             ",".join(f"c{n}" for n in range(VOTERS)),
             replace_after=1e9,
-            follow_within=FLEET_SETTLES,
-            near_within=SETTLES,
+            follow_within=FLEET_SETTLE_MS,
+            near_within=GROUP_SETTLE_MS,
         ),
         places=[ZonePlace(zone, f"r{n % course.regions}") for n, zone in enumerate(zones)],
     )
 
 
 def run_course(course: Course) -> Found:
-    """On the module, under the five rules besides. Raises ValueError on a build that the module's world has not."""
+    """Runs a course on the module and also checks the five rules. Raises ValueError for a build that the module lacks."""
     if course.build not in MODULE_BUILDS:
         raise ValueError(f"build: expected one of {', '.join(MODULE_BUILDS)}, got {course.build!r}")
     decider = DECIDERS[course.build if course.build in DECIDERS else "hiku"]
-    came = play(as_day(course), decider, None, GATEWAYS.get(course.build, Gateway))
-    rules = [BrokenInvariant(f"rule {one.rule}", one.at, one.what) for one in came.broken]
-    return Found(course, rules + came.invariants, came.events)
+    result = play(as_day(course), decider, None, GATEWAYS.get(course.build, Gateway))
+    rules = [BrokenInvariant(f"rule {broken.rule}", broken.at, broken.what) for broken in result.broken]
+    return Found(course, rules + result.invariants, result.events)
 
 
-def _others(course: Course, fault: Fault) -> str:
+def _other_controllers(course: Course, fault: Fault) -> str:
     return ",".join(f"c{n}" for n in range(course.controllers) if f"c{n}" not in fault.names)
 
 
-def _everything(course: Course) -> str:
+def _all_places(course: Course) -> str:
     return ",".join([*(f"z{n}" for n in range(course.zones)), "roster"])
 
 
-def _invokers(kind: str, **more: Any) -> Callable[[Course, Fault], list[Trouble]]:
-    return lambda course, fault: [Trouble(kind, fault.at, fault.lasts, what=fault.zone, **more)]
+def _invoker_trouble(kind: str, **options: Any) -> Callable[[Course, Fault], list[Trouble]]:
+    return lambda course, fault: [Trouble(kind, fault.at, fault.lasts, what=fault.zone, **options)]
 
 
-def _controllers(kind: str, lasts: bool = False) -> Callable[[Course, Fault], list[Trouble]]:
+def _controller_trouble(kind: str, lasts: bool = False) -> Callable[[Course, Fault], list[Trouble]]:
     return lambda course, fault: [
         Trouble(kind, fault.at, fault.lasts if lasts else 0.0, span=fault.lasts, what=name)
         for name in sorted(fault.names)
     ]
 
 
-def _parted(course: Course, fault: Fault) -> list[Trouble]:
-    if not (others := _others(course, fault)):
+def _partition(course: Course, fault: Fault) -> list[Trouble]:
+    if not (others := _other_controllers(course, fault)):
         return []
     return [
         Trouble(
@@ -120,33 +121,33 @@
     ]
 
 
-def _links(kind: str, **more: Any) -> Callable[[Course, Fault], list[Trouble]]:
-    def twin(course: Course, fault: Fault) -> list[Trouble]:
-        every = _everything(course)
-        return [Trouble(kind, fault.at, fault.lasts, between=every, and_=every, **more)]
+def _link_trouble(kind: str, **options: Any) -> Callable[[Course, Fault], list[Trouble]]:
+    def convert(course: Course, fault: Fault) -> list[Trouble]:
+        places = _all_places(course)
+        return [Trouble(kind, fault.at, fault.lasts, between=places, and_=places, **options)]
 
-    return twin
+    return convert
 
 
-def _roster_one(course: Course, fault: Fault) -> list[Trouble]:
-    others = _others(course, fault)
+def _roster_partition(course: Course, fault: Fault) -> list[Trouble]:
+    others = _other_controllers(course, fault)
     return [Trouble("partition", fault.at, fault.lasts, between="roster", and_=others)] if others else []
 
 
-TWINS: dict[str, Callable[[Course, Fault], list[Trouble]]] = {
-    "invokers-lost": _invokers("invokers-lost"),
-    "hang": _invokers("hang", share=1.0),
-    "renew": _invokers("renew", share=0.5, batch=1),
-    "drained": _invokers("renew", share=0.5, batch=1),
-    "kill": _controllers("controller-restart"),
-    "leave": _controllers("controller-restart"),
-    "gone": _controllers("controller-kill"),
-    "hold": _controllers("controller-stop", lasts=True),
-    "part": _parted,
-    "one-way": _parted,
-    "lossy": _links("link-lossy", share=0.05),
-    "slow": _links("link-slow", span=150.0),
+CONVERTERS: dict[str, Callable[[Course, Fault], list[Trouble]]] = {
+    "invokers-lost": _invoker_trouble("invokers-lost"),
+    "hang": _invoker_trouble("hang", share=1.0),
+    "renew": _invoker_trouble("renew", share=0.5, batch=1),
+    "drained": _invoker_trouble("renew", share=0.5, batch=1),
+    "kill": _controller_trouble("controller-restart"),
+    "leave": _controller_trouble("controller-restart"),
+    "gone": _controller_trouble("controller-kill"),
+    "hold": _controller_trouble("controller-stop", lasts=True),
+    "part": _partition,
+    "one-way": _partition,
+    "lossy": _link_trouble("link-lossy", share=0.05),
+    "slow": _link_trouble("link-slow", span=150.0),
     "roster-down": lambda course, fault: [Trouble("roster-down", fault.at, fault.lasts)],
-    "roster-one": _roster_one,
+    "roster-one": _roster_partition,
     "rising": lambda course, fault: [Trouble("burst", fault.at, fault.lasts, factor=1.5)],
 }
--- a/sprucespool/lab/days.py
+++ b/sprucespool/lab/days.py
@@ -1,4 +1,4 @@
-"""A day's script played in virtual time and judged as its processes are: the same rules, table and invariants."""
+"""Runs a day's script in virtual time and judges it by the same rules, table and invariants as a stage of processes."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 from sprucespool.standin.script import Day
 from sprucespool.standin.verdicts import attempts_reached, facts
 
-# After the day's end clients still wait for what they asked.
-AFTER, LOOK = 6_000.0, 500.0
+# Time after the day's end in which clients still wait for answers, and the interval of the checks of the group.
+SETTLE_MS, CHECK_INTERVAL_MS = 6_000.0, 500.0
 
 
 @dataclass(slots=True)
 class DayResult:
-    """What came of a day in virtual time. `settled` and `near` in ms from the last fault."""
+    """The result of a day in virtual time. `settled` and `followed` are in ms from the last fault."""
 
     day: str
     seed: int
@@ -59,19 +59,22 @@
 
 
 def scaled(day: Day, invokers: int) -> Day:
-    """The same day for another fleet: as many of each kind of machine, as much traffic, as large a library as is its
-    part."""
-    had = sum(machines.count for machines in day.machines)
-    machines = [msgspec.structs.replace(one, count=max(1, round(one.count * invokers / had))) for one in day.machines]
+    """The same day with the machines of each kind, the traffic and the library scaled to another number of invokers."""
+    base_count = sum(machines.count for machines in day.machines)
+    machines = [
+        msgspec.structs.replace(kind, count=max(1, round(kind.count * invokers / base_count))) for kind in day.machines
+    ]
     traffics = [
-        msgspec.structs.replace(one, rate=one.rate * invokers / had, users=round(one.users * invokers / had))
-        for one in day.traffics
+        msgspec.structs.replace(
+            traffic, rate=traffic.rate * invokers / base_count, users=round(traffic.users * invokers / base_count)
+        )
+        for traffic in day.traffics
     ]
-    # Seen: 120 invokers at the library of 18 loaded for a minute, and what was measured was that.
+    # With the library of 18 invokers, 120 invokers took a minute to load models, and that dominated the measurement.
     library = msgspec.structs.replace(
         day.library,
-        smooth=max(1, round(day.library.smooth * invokers / had)),
-        most=max(1, round(day.library.most * invokers / had)),
+        smooth=max(1, round(day.library.smooth * invokers / base_count)),
+        most=max(1, round(day.library.most * invokers / base_count)),
     )
     return msgspec.structs.replace(day, machines=machines, traffics=traffics, library=library)
 
@@ -83,70 +86,74 @@
     gateway: type[Gateway] = Gateway,
     **kinds: Any,
 ) -> DayWorld:
-    """A day's world at its first moment. Raises ValueError on a day that cannot be played so."""
+    """Creates the world of a day at time 0. Raises ValueError for a day that cannot run in virtual time."""
     world = DayWorld(day, decider, controllers, gateway, **kinds)
     if day.group is not None:
-        world.looking(LOOK)
+        world.looking(CHECK_INTERVAL_MS)
     world.schedule_day()
     return world
 
 
 def finish_day(world: DayWorld) -> DayResult:
-    """Play it from where it stands to its end, and judge it. Raises StandsStill."""
-    world.run(world.day.lasts + AFTER - world.now)
+    """Runs the world from its current time to the end of the day and judges it. Raises StandsStill."""
+    world.run(world.day.lasts + SETTLE_MS - world.now)
     world.notes += world.bad_links.all_over(world.now)
     return _judge_day(world)
 
 
 def play(day: Day, *how: Any, **kinds: Any) -> DayResult:
-    """As `begun`, to the end."""
+    """Runs a whole day; takes the arguments of `start_day`."""
     return finish_day(start_day(day, *how, **kinds))
 
 
 def _judge_day(world: DayWorld) -> DayResult:
     day, notes = world.day, world.notes
     groups = {group.name: GroupValue(group.slo_time, group.value, group.late_value) for group in day.model_groups}
-    found = DayResult(
+    result = DayResult(
         day.name, day.seed, world.controllers, score(notes, groups), judge(notes, facts(day)), events=next(world.number)
     )
-    found.faults = sum(isinstance(one, seen.Count) and one.name == "module faults" for one in notes)
-    told = day.group
-    if told is None:
-        return found
-    group = world.group_verdict(group_seen.Bounds(told.alike_within, told.cleared_within, told.dead_within))
-    found.invariants += [BrokenInvariant(f"group {one.which}", one.at, one.what) for one in group.broken]
-    found.settled = group.settled
-    if told.view:
+    result.faults = sum(isinstance(note, seen.Count) and note.name == "module faults" for note in notes)
+    bounds = day.group
+    if bounds is None:
+        return result
+    group = world.group_verdict(group_seen.Bounds(bounds.alike_within, bounds.cleared_within, bounds.dead_within))
+    result.invariants += [BrokenInvariant(f"group {broken.which}", broken.at, broken.what) for broken in group.broken]
+    result.settled = group.settled
+    if bounds.view:
         fleet = world.verdict(
             fleet_seen.FleetBounds(
-                told.fleet_alike_within, day.fleet.drain_grace, told.spread_within, told.replaced_within
+                bounds.fleet_alike_within, day.fleet.drain_grace, bounds.spread_within, bounds.replaced_within
             )
         )
-        found.invariants += [BrokenInvariant(f"fleet {one.which}", one.at, one.what) for one in fleet.broken]
+        result.invariants += [
+            BrokenInvariant(f"fleet {broken.which}", broken.at, broken.what) for broken in fleet.broken
+        ]
     if day.failover is not None:
-        failover = _failover(world, day)
-        found.invariants += [BrokenInvariant(f"failover {one.which}", one.at, one.what) for one in failover.broken]
-        found.followed, found.crossed = failover.settled, failover.crossed
-    return found
+        failover = _judge_failover(world, day)
+        result.invariants += [
+            BrokenInvariant(f"failover {broken.which}", broken.at, broken.what) for broken in failover.broken
+        ]
+        result.followed, result.crossed = failover.settled, failover.crossed
+    return result
 
 
-def _failover(world: DayWorld, day: Day) -> failover_seen.FailoverVerdict:
-    told = day.failover
-    assert told is not None
+def _judge_failover(world: DayWorld, day: Day) -> failover_seen.FailoverVerdict:
+    script = day.failover
+    assert script is not None
     zones = {number: world.zone_of(number) for number in range(world.controllers)}
     reached = attempts_reached(day, world.notes, zones)
-    first = min((trouble.at for trouble in day.troubles), default=day.lasts)
+    first_fault = min((trouble.at for trouble in day.troubles), default=day.lasts)
     bounds = failover_seen.FailoverBounds(
         world.topology.regions,
         3_000.0,
-        first,
+        first_fault,
         world.last_fault,
         frozenset(world.members),
-        told.cap_slack,
-        told.slack_cores,
-        told.over_for,
-        changes=told.changes,
-        follow_within=told.follow_within,
-        near_within=told.near_within,
+        script.cap_slack,
+        script.slack_cores,
+        script.over_for,
+        changes=script.changes,
+        follow_within=script.follow_within,
+        near_within=script.near_within,
     )
     return failover_seen.check(world.views, reached, bounds, world.now)
--- a/sprucespool/lab/defects.py
+++ b/sprucespool/lab/defects.py
@@ -1,4 +1,4 @@
-"""Seeded defects: each a build without one thing that an invariant rests on, for measuring what the search finds."""
+"""Seeded defects: builds that each lack one thing an invariant depends on, to measure what the fault search finds."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class VotesTwice(Council):
-    """A second vote in a term."""
+    """Votes a second time in a term."""
 
     def _elect(self, now: float, word: Word) -> list[Effect]:
         if self.ballot.term == word.term:
@@ -21,8 +21,8 @@
         return super()._elect(now, word)
 
 
-class Minority(Council):
-    """Leads with its own vote alone."""
+class MinorityLeader(Council):
+    """Leads with only its own vote."""
 
     @property
     def majority(self) -> int:
@@ -33,16 +33,19 @@
 
 
 class SameTerm(Council):
-    """Takes the lead in the term that it knows instead of a new one."""
+    """Becomes leader in the current term instead of a new one."""
 
     def _lead(self, now: float) -> list[Effect]:
         effects = super()._lead(now)
         self._keep(replace(self.ballot, term=1, seats=Seats((1, 1), self.voters)))
-        return [replace(one, word=replace(one.word, term=1)) if isinstance(one, Tell) else one for one in effects]
+        return [
+            replace(effect, word=replace(effect.word, term=1)) if isinstance(effect, Tell) else effect
+            for effect in effects
+        ]
 
 
-class Backwards(Council):
-    """Takes whatever plan it hears last."""
+class AdoptsOlderPlan(Council):
+    """Adopts the last plan it received, even an older one."""
 
     def _follow(self, now: float, word: Word) -> list[Effect]:
         effects = super()._follow(now, word)
@@ -51,8 +54,8 @@
         return effects
 
 
-class Unheld(Council):
-    """Has a plan in force before anybody else holds it."""
+class UnheldPlan(Council):
+    """Puts a plan into force before any other voter holds it."""
 
     def propose(self, now: float, plan: Plan) -> list[Effect]:
         effects = super().propose(now, plan)
@@ -61,38 +64,38 @@
         return effects
 
 
-class Endless(Council):
-    """Follows a plan that nobody renews."""
+class EndlessPlan(Council):
+    """Follows a plan forever, although nobody renews it."""
 
     def in_force(self, now: float) -> Plan | None:
         return self.decided
 
 
-def _council(kind: type[Council]) -> type[Failover]:
+def _with_council(kind: type[Council]) -> type[Failover]:
     @dataclass(eq=False)
-    class Odd(Failover):
+    class DefectiveFailover(Failover):
         def __post_init__(self):
             super().__post_init__()
-            held = self.council
-            self.council = kind(held.name, self.voters, held.seed, held.kept, held.limits)
+            original = self.council
+            self.council = kind(original.name, self.voters, original.seed, original.kept, original.limits)
 
-    return Odd
+    return DefectiveFailover
 
 
 COUNCILS = {
     "council-votes-twice": VotesTwice,
-    "council-minority": Minority,
+    "council-minority": MinorityLeader,
     "council-same-term": SameTerm,
-    "council-backwards": Backwards,
-    "council-unheld": Unheld,
-    "council-endless": Endless,
+    "council-backwards": AdoptsOlderPlan,
+    "council-unheld": UnheldPlan,
+    "council-endless": EndlessPlan,
 }
-# Liars break nothing by themselves: the others have to bear with them.
+# Builds that lie are left out: they break no invariant themselves, the other members have to tolerate them.
 DEFECTS: dict[str, Build] = {
     **{name: Build(member=kind) for name, kind in MEMBERS.items() if not name.endswith("liar")},
     **{name: Build(fleet=kind) for name, kind in VIEWS.items() if not name.endswith(("liar", "-d"))},
     **{name: Build(more={"kind": kind}) for name, kind in PLANS.items() if not name.endswith("liar")},
     **{name: Build(more={"steer": kind}) for name, kind in STEERS.items()},
-    **{name: Build(more={"kind": _council(kind)}) for name, kind in COUNCILS.items()},
+    **{name: Build(more={"kind": _with_council(kind)}) for name, kind in COUNCILS.items()},
 }
 BUILDS = {"sound": Build(), **DEFECTS}
--- a/sprucespool/lab/hunting.py
+++ b/sprucespool/lab/hunting.py
@@ -1,4 +1,4 @@
-"""Fault search over many seeds in parallel: what breaks is shrunk and written down as a course that replays."""
+"""Fault search over many seeds in parallel; a failing course is shrunk and written to a file that can be replayed."""
 
 from __future__ import annotations
 
@@ -18,7 +18,8 @@
 
 @dataclass(slots=True)
 class HuntResult:
-    """`tried`: courses until the first that broke something (all, if none did); `seconds` of wall time."""
+    """`tried` is the number of courses up to the first that broke something, or of all if none did; `seconds` is wall
+    time."""
 
     build: str
     tried: int
@@ -29,7 +30,7 @@
 
 
 def run_course(course: Course, module: bool = False) -> Found:
-    """Of a build by its name: so that a course alone says all. `module`: as a day, on the module that decides."""
+    """Runs a course on the build that it names. With `module`, runs it as a day on the decision module."""
     if module:
         return run_course_as_day(course)
     if course.build not in BUILDS:
@@ -38,13 +39,13 @@
 
 
 def _run_seed(job: tuple[int, str, int, bool]) -> Found:
-    """`most` 0: a guided course."""
+    """Draws and runs the course of a seed: a guided one if `most` is 0."""
     seed, build, most, module = job
     return run_course(drawn(seed, most, build) if most else guided(seed, build), module)
 
 
 def search(build: str, seeds: range, most: int, workers: int, module: bool = False) -> Iterator[Found]:
-    """In order of seeds, whichever process ends first; `most` 0: guided courses instead of blind ones."""
+    """Yields results in the order of the seeds. With `most` 0, runs guided courses instead of random ones."""
     jobs = [(seed, build, most, module) for seed in seeds]
     if workers <= 1:
         yield from map(_run_seed, jobs)
@@ -65,40 +66,40 @@
     progress: Callable[[str], None] = lambda line: None,
     module: bool = False,
 ) -> HuntResult:
-    """Until the first course that breaks something. Raises OSError where it can't be written down."""
-    begun, tried = time.monotonic(), 0
+    """Runs courses until one breaks something. Raises OSError if that one cannot be written to `folder`."""
+    started_at, tried = time.monotonic(), 0
     for found in search(build, seeds, most, workers, module):
         tried += 1
         if not found.broken:
             if tried % 10 == 0:
                 progress(f"{build}: {tried} of {len(seeds)} courses, nothing broken")
             continue
-        hunted = HuntResult(
-            build, tried, time.monotonic() - begun, found, shrunk(found, partial(run_course, module=module))
+        result = HuntResult(
+            build, tried, time.monotonic() - started_at, found, shrunk(found, partial(run_course, module=module))
         )
-        if folder is not None and hunted.small is not None:
+        if folder is not None and result.small is not None:
             folder.mkdir(parents=True, exist_ok=True)
-            hunted.path = folder / f"{build}-{found.course.seed}.kdl"
-            hunted.path.write_text(course_text(hunted.small))
-            if hunted.small.course.controllers <= MAX_CONTROLLERS:
-                hunted.path.with_suffix(".day.kdl").write_text(day_text(hunted.small))
-        return hunted
-    return HuntResult(build, tried, time.monotonic() - begun)
+            result.path = folder / f"{build}-{found.course.seed}.kdl"
+            result.path.write_text(course_text(result.small))
+            if result.small.course.controllers <= MAX_CONTROLLERS:
+                result.path.with_suffix(".day.kdl").write_text(day_text(result.small))
+        return result
+    return HuntResult(build, tried, time.monotonic() - started_at)
 
 
 def course_text(found: Found) -> str:
-    """A course as a file, with what it breaks."""
-    told = "".join(f"// ({one.which}) {one.what}\n" for one in found.broken[:5])
-    return told + write(found.course)
+    """The text of a course file, with the broken invariants as comments."""
+    comments = "".join(f"// ({broken.which}) {broken.what}\n" for broken in found.broken[:5])
+    return comments + write(found.course)
 
 
 def day_text(found: Found) -> str:
-    """The same as a day's script, with what the course breaks."""
-    told = "".join(f"// ({one.which}) {one.what}\n" for one in found.broken[:5])
+    """The course as a day's script, with the broken invariants as comments."""
+    comments = "".join(f"// ({broken.which}) {broken.what}\n" for broken in found.broken[:5])
     build = f"// Over sockets: sprucespool day --decider {found.course.build}\n" * (found.course.build != "sound")
-    return told + build + write(as_day(found.course))
+    return comments + build + write(as_day(found.course))
 
 
 def load_course(path: Path) -> Course:
-    """Raises OSError, SettingsError with line and expectation."""
+    """Reads a course file. Raises OSError, and SettingsError with the line and what was expected."""
     return read(Course, path.read_text(encoding="utf-8"), str(path))
--- a/sprucespool/lab/report.py
+++ b/sprucespool/lab/report.py
@@ -1,4 +1,4 @@
-"""One page of a sweep's results: tables with intervals, charts as pictures in the page itself, a failover over time."""
+"""Renders a sweep's results as one HTML page: tables with intervals, inline SVG charts, and failovers over time."""
 
 from __future__ import annotations
 
@@ -9,22 +9,23 @@
 from typing import Any
 
 from sprucespool.emulator.plans import CASES, PlanWorld
-from sprucespool.lab.compare import SURE, Comparison, compare_rows
+from sprucespool.lab.compare import CONFIDENCE, Comparison, compare_rows
 from sprucespool.lab.sweep import Job, Results, Row, SweepPlan, jobs
 from sprucespool.settings import read
 
-# Figures that a chart may show, by kind: the first in which its lines differ. The picture's step and span, ms.
-SHOWN = {
+# Metrics that a chart may show, by kind; the first one whose values differ is shown.
+CHART_METRICS = {
     "failover": ("service",),
     "fleet": ("late_forwards", "refused", "timed_out", "settled_s"),
     "group": ("settled_s",),
     "day": ("service",),
 }
-STEP, SPAN = 3_000.0, 75_000.0
+# Resolution and length of the picture of a failover over time.
+STEP_MS, DURATION_MS = 3_000.0, 75_000.0
 
 
 @dataclass(slots=True)
-class _Part:
+class _Section:
     title: str
     lines: list[Comparison]
     chart: Any = ""
@@ -38,7 +39,7 @@
 
 
 def _svg(chart: Any) -> Any:
-    """In the page itself: no browser draws it, nothing is fetched."""
+    """Renders a chart as inline SVG, so that the page needs no script and fetches nothing."""
     from markupsafe import Markup
 
     out = io.StringIO()
@@ -47,7 +48,7 @@
 
 
 def _chart(lines: list[Comparison]) -> Any:
-    """By size where there are several, else by decider."""
+    """A chart by number of controllers if the lines have several, else by decider."""
     import altair
 
     losses = len({one.loss for one in lines}) > 1
@@ -80,18 +81,18 @@
 
 
 def over_time(job: Job) -> list[dict[str, Any]]:
-    """Service by zone of clients, second by second, of one failover."""
+    """The service of one failover by zone of the clients, in steps of `STEP_MS`."""
     world = PlanWorld(job.controllers, job.invokers, job.seed, job.decider, loss=job.loss)
     CASES[job.case](world)
-    world.run(SPAN)
+    world.run(DURATION_MS)
     found: dict[tuple[int, str], list[int]] = defaultdict(lambda: [0, 0])
     for at, zone, good in world.asked:
-        one = found[int(at // STEP), zone]
-        one[0] += good
-        one[1] += 1
+        counts = found[int(at // STEP_MS), zone]
+        counts[0] += good
+        counts[1] += 1
     return [
-        {"s": int(second * STEP / 1_000.0), "zone": zone, "service": good / of, "decider": job.decider}
-        for (second, zone), (good, of) in sorted(found.items())
+        {"s": int(step * STEP_MS / 1_000.0), "zone": zone, "service": good / total, "decider": job.decider}
+        for (step, zone), (good, total) in sorted(found.items())
     ]
 
 
@@ -109,24 +110,25 @@
         )
         .facet(row=altair.Row("decider:N", sort=[job.decider for job in plays]))
     )
-    one = plays[0]
+    first = plays[0]
     return _Picture(
-        f"{one.case} over time, {one.controllers} controllers, {one.invokers} invokers, seed {one.seed}", _svg(chart)
+        f"{first.case} over time, {first.controllers} controllers, {first.invokers} invokers, seed {first.seed}",
+        _svg(chart),
     )
 
 
-def _shown(kind: str, lines: list[Comparison]) -> list[Comparison]:
-    by_figure = [[one for one in lines if one.figure == name] for name in SHOWN[kind]]
-    return next((some for some in by_figure if len({one.mean for one in some}) > 1), [])
+def _chart_lines(kind: str, lines: list[Comparison]) -> list[Comparison]:
+    by_metric = [[one for one in lines if one.figure == name] for name in CHART_METRICS[kind]]
+    return next((values for values in by_metric if len({one.mean for one in values}) > 1), [])
 
 
-def _parts(rows: list[Row]) -> list[_Part]:
-    found: dict[tuple[str, str], list[Comparison]] = {}
+def _sections(rows: list[Row]) -> list[_Section]:
+    by_case: dict[tuple[str, str], list[Comparison]] = {}
     for one in compare_rows(rows):
-        found.setdefault((one.kind, one.case), []).append(one)
+        by_case.setdefault((one.kind, one.case), []).append(one)
     parts = []
-    for (kind, case), lines in found.items():
-        shown = _shown(kind, lines)
+    for (kind, case), lines in by_case.items():
+        shown = _chart_lines(kind, lines)
         broken = sorted(
             {
                 f"{row.job.decider}, {row.job.controllers} controllers, seed {row.job.seed}: {row.broken[0]}"
@@ -134,12 +136,12 @@
                 if row.broken and (row.job.kind, row.job.case) == (kind, case)
             }
         )
-        parts.append(_Part(f"{kind}: {case}", lines, _chart(shown) if shown else "", broken[:20]))
+        parts.append(_Section(f"{kind}: {case}", lines, _chart(shown) if shown else "", broken[:20]))
     return parts
 
 
 def report(folder: Path) -> str:
-    """The page. Raises OSError, SettingsError, ResultsError."""
+    """Returns the page as HTML. Raises OSError, SettingsError, ResultsError."""
     import jinja2
 
     text = (folder / "plan.kdl").read_text(encoding="utf-8")
@@ -147,14 +149,21 @@
     order = {job: number for number, job in enumerate(jobs(plan))}
     rows = sorted(Results(folder).rows(), key=lambda row: order.get(row.job, len(order)))
     pictures = []
-    for one in plan.experiments:
-        if one.kind == "failover":
-            sizes = int(one.controllers.split(",")[0]), int(one.invokers.split(",")[0])
+    for experiment in plan.experiments:
+        if experiment.kind == "failover":
+            sizes = int(experiment.controllers.split(",")[0]), int(experiment.invokers.split(",")[0])
             pictures.append(
                 _picture(
                     [
-                        Job("failover", one.case, who, *sizes, float(one.loss.split(",")[0]), plan.first_seed)
-                        for who in one.who
+                        Job(
+                            "failover",
+                            experiment.case,
+                            decider,
+                            *sizes,
+                            float(experiment.loss.split(",")[0]),
+                            plan.first_seed,
+                        )
+                        for decider in experiment.who
                     ]
                 )
             )
@@ -167,7 +176,7 @@
         plays=len(rows),
         failed=sum(bool(row.problem) for row in rows),
         broken=sum(bool(row.broken) for row in rows),
-        sure=f"{SURE:.0%}",
-        parts=_parts(rows),
+        sure=f"{CONFIDENCE:.0%}",
+        parts=_sections(rows),
         pictures=pictures,
     )
--- a/sprucespool/lab/saving.py
+++ b/sprucespool/lab/saving.py
@@ -1,8 +1,8 @@
-"""A world in the middle of its run as a file that another process, on another machine, goes on from.
+"""Saves a world in the middle of its run to a file from which another process or machine can continue.
 
-What is due in a world are functions with what they close over, so the file is made by cloudpickle and is to be read by
-the same Python and the same code: both stand in its head and are looked at first. As with any such file, read only
-what you wrote yourself.
+The scheduled events of a world are closures, so the file is written with cloudpickle and must be read by the same
+Python version and the same code. Both are recorded in its head and checked before the body is loaded. As with any
+pickle, load only files that you wrote yourself.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class SavedError(ValueError):
-    """A file that cannot be gone on from."""
+    """A file from which no run can continue."""
 
 
 class _Head(msgspec.Struct):
@@ -32,11 +32,11 @@
 
 
 def code() -> str:
-    """One figure for all of the program's source: a world's functions are only good with theirs."""
-    found, root = hashlib.blake2b(digest_size=12), Path(__file__).parent.parent
+    """Digest of the whole source of the program: a world's closures are valid only with the code that made them."""
+    digest, root = hashlib.blake2b(digest_size=12), Path(__file__).parent.parent
     for path in sorted(root.rglob("*.py")):
-        found.update(path.relative_to(root).as_posix().encode() + b"\0" + path.read_bytes())
-    return found.hexdigest()
+        digest.update(path.relative_to(root).as_posix().encode() + b"\0" + path.read_bytes())
+    return digest.hexdigest()
 
 
 def _python() -> str:
@@ -44,33 +44,33 @@
 
 
 def save(world: DayWorld, path: Path) -> None:
-    """Whole or not at all: a full disk leaves what was there before. Raises OSError."""
+    """Writes the file atomically: if the disk is full, a previous file stays. Raises OSError."""
     import cloudpickle
 
     body = cloudpickle.dumps(world)
     head = _Head(_python(), code(), world.now, hashlib.blake2b(body, digest_size=16).hexdigest())
-    part = path.with_name(path.name + ".part")
+    part_path = path.with_name(path.name + ".part")
     try:
-        with open(part, "wb") as out:
+        with open(part_path, "wb") as out:
             out.write(MARK + msgspec.json.encode(head) + b"\n" + body)
             out.flush()
             os.fsync(out.fileno())
-        os.replace(part, path)
+        os.replace(part_path, path)
     except OSError:
-        part.unlink(missing_ok=True)
+        part_path.unlink(missing_ok=True)
         raise
 
 
 def load(path: Path) -> DayWorld:
-    """Raises OSError, SavedError with what was expected."""
+    """Raises OSError, and SavedError with what was expected."""
     data = path.read_bytes()
     if not data.startswith(MARK):
         raise SavedError("expected a saved world")
     line, _, body = data[len(MARK) :].partition(b"\n")
     try:
         head = msgspec.json.decode(line, type=_Head)
-    except msgspec.MsgspecError as problem:
-        raise SavedError(f"head: {problem}") from None
+    except msgspec.MsgspecError as error:
+        raise SavedError(f"head: {error}") from None
     if head.python != _python():
         raise SavedError(f"expected to be read by {head.python}, this is {_python()}")
     if head.code != code():
--- a/sprucespool/lab/sweep.py
+++ b/sprucespool/lab/sweep.py
@@ -1,6 +1,7 @@
-"""A plan of experiments over sizes, deciders and seeds, played in parallel; cut off, it goes on where it was.
+"""Runs a plan of experiments over sizes, deciders and seeds in parallel; an interrupted sweep can be resumed.
 
-Each result is a line of `rows.jsonl` as soon as it is there; when all are, they stand in `rows.parquet` too.
+Each result is appended to `rows.jsonl` as soon as it is known. When all are known, they are written to `rows.parquet`
+too.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 from sprucespool.standin.recorded import with_recorded
 from sprucespool.standin.script import Day
 
-# What each kind of experiment can be told: its cases, and who decides (the first is what others are compared with).
+# The cases and the deciders of each kind of experiment. The first decider is the baseline of comparisons.
 FLEET, GROUP = ("alone", "common"), ("parts", "deaths", "steady")
 KINDS: dict[str, tuple[tuple[str, ...] | None, tuple[str, ...]]] = {
     "failover": (tuple(failover_cases.CASES), failover_cases.DECIDERS),
@@ -36,7 +37,7 @@
 
 
 class Experiment(msgspec.Struct):
-    """One kind and case; all sizes, deciders and seeds of it are played. `case` of a day is its script's path."""
+    """One kind and case, run with all sizes, deciders and seeds. For a day, `case` is the path of its script."""
 
     __args__ = ("kind",)
     kind: str
@@ -55,14 +56,16 @@
         for name in self.who:
             if name not in deciders:
                 raise ValueError(f"deciders: expected some of {', '.join(deciders)}, got {name!r}")
-        for what, figures, least, most in (
+        for option, numbers, minimum, maximum in (
             ("controllers", self.controllers, 3, 1_000),
             ("invokers", self.invokers, 3, 1_000),
         ):
-            if not all(one.isdigit() and least <= int(one) <= most for one in figures.split(",")):
-                raise ValueError(f"{what}: expected whole numbers from {least} to {most} with commas, got {figures!r}")
+            if not all(number.isdigit() and minimum <= int(number) <= maximum for number in numbers.split(",")):
+                raise ValueError(
+                    f"{option}: expected whole numbers from {minimum} to {maximum} with commas, got {numbers!r}"
+                )
         try:
-            if not all(0 <= float(one) < 1 for one in self.loss.split(",")):
+            if not all(0 <= float(number) < 1 for number in self.loss.split(",")):
                 raise ValueError
         except ValueError:
             raise ValueError(f"loss: expected numbers from 0 to below 1 with commas, got {self.loss!r}") from None
@@ -73,7 +76,7 @@
 
 
 class SweepPlan(msgspec.Struct):
-    """`seeds`: how many, from `first_seed` on; all deciders meet the same."""
+    """`seeds` is the number of seeds, starting at `first_seed`; all deciders run with the same ones."""
 
     name: str
     experiments: list[Experiment]
@@ -98,7 +101,7 @@
 
 
 class Row(msgspec.Struct):
-    """One play's figures by name; `problem`: why there are none."""
+    """The metrics of one run by name; `problem` is the error if there are none."""
 
     job: Job
     figures: dict[str, float | None] = {}
@@ -108,57 +111,64 @@
 
 
 class _First(msgspec.Struct):
+    """The first line of `rows.jsonl`: the digest and name of the plan."""
+
     plan: str
     name: str
 
 
 def jobs(plan: SweepPlan) -> list[Job]:
-    """In the order in which they are begun: seed by seed, so that what is cut off has something of all."""
-    found = []
+    """All jobs in the order in which they start: seed by seed, so that an interrupted sweep covers all settings."""
+    result = []
     for seed in range(plan.first_seed, plan.first_seed + plan.seeds):
-        for one in plan.experiments:
-            for controllers, invokers, loss, who in itertools.product(
-                one.controllers.split(","), one.invokers.split(","), one.loss.split(","), one.who
+        for experiment in plan.experiments:
+            for controllers, invokers, loss, decider in itertools.product(
+                experiment.controllers.split(","),
+                experiment.invokers.split(","),
+                experiment.loss.split(","),
+                experiment.who,
             ):
-                found.append(Job(one.kind, one.case, who, int(controllers), int(invokers), float(loss), seed))
-    return found
+                result.append(
+                    Job(experiment.kind, experiment.case, decider, int(controllers), int(invokers), float(loss), seed)
+                )
+    return result
 
 
-# Playing
+# Runs
 
 
-def _failover(job: Job) -> tuple[dict[str, float | None], list[str]]:
-    came = failover_cases.play(job.case, job.decider, job.seed, job.controllers, job.invokers, loss=job.loss)
+def _run_failover(job: Job) -> tuple[dict[str, float | None], list[str]]:
+    result = failover_cases.play(job.case, job.decider, job.seed, job.controllers, job.invokers, loss=job.loss)
     return {
-        "service": came.service,
-        "worst_10s": came.worst_10s,
-        "shed": came.shed,
-        "crossed": came.crossed,
-        "plans": came.plans,
-        "settled_s": _seconds(came.settled),
-        "near_s": _seconds(came.near),
-    }, came.broken
-
-
-def _fleet(job: Job) -> tuple[dict[str, float | None], list[str]]:
-    came = fleet_cases.play(
+        "service": result.service,
+        "worst_10s": result.worst_10s,
+        "shed": result.shed,
+        "crossed": result.crossed,
+        "plans": result.plans,
+        "settled_s": _seconds(result.settled),
+        "near_s": _seconds(result.near),
+    }, result.broken
+
+
+def _run_fleet(job: Job) -> tuple[dict[str, float | None], list[str]]:
+    result = fleet_cases.play(
         job.case, job.controllers, job.invokers, job.seed, job.decider == "common", 1.0, look=2_000.0
     )
-    figures = came.figures
+    figures = result.figures
     return {
-        "settled_s": _seconds(came.alike),
-        "late_forwards": came.late,
+        "settled_s": _seconds(result.alike),
+        "late_forwards": result.late,
         "refused": figures["refused"],
         "timed_out": figures["timed_out"],
         "returned": figures["returned"] / max(1, figures["forwards"]),
-        "usable": came.usable,
-    }, [f"({one.which}) {one.what}" for one in came.broken]
+        "usable": result.usable,
+    }, [f"({broken.which}) {broken.what}" for broken in result.broken]
 
 
-def _group(job: Job) -> tuple[dict[str, float | None], list[str]]:
+def _run_group(job: Job) -> tuple[dict[str, float | None], list[str]]:
     world = Virtual(job.controllers, job.seed, loss=job.loss, settled=True)
     world.run(5_000.0)
-    said, begun = world.said, time.process_time()
+    sent_before, started_at = world.said, time.process_time()
     broken: list[str] = []
     if job.case == "parts":
         names = sorted(world.members)
@@ -175,22 +185,22 @@
             settled = (world.run(60_000.0, world.alike) or 0.0) + settled
     else:
         settled = 0.0 if world.run(30_000.0) is None and world.alike() else None
-    span = (world.now - 5_000.0) / 1_000.0
+    duration_s = (world.now - 5_000.0) / 1_000.0
     if settled is None:
         broken.append("views were never equal")
     return {
         "settled_s": _seconds(settled),
-        "messages_a_second": (world.said - said) / span / job.controllers,
-        "core": (time.process_time() - begun) / span / job.controllers,
+        "messages_a_second": (world.said - sent_before) / duration_s / job.controllers,
+        "core": (time.process_time() - started_at) / duration_s / job.controllers,
     }, broken
 
 
-def _day(job: Job) -> tuple[dict[str, float | None], list[str]]:
+def _run_day(job: Job) -> tuple[dict[str, float | None], list[str]]:
     path = Path(job.case)
     day = with_recorded(read(Day, path.read_text(encoding="utf-8"), job.case), path.parent)
     day = msgspec.structs.replace(scaled(day, job.invokers), seed=job.seed)
-    came = play_day(day, DECIDERS[job.decider], job.controllers)
-    table = came.table
+    result = play_day(day, DECIDERS[job.decider], job.controllers)
+    table = result.table
     return {
         "service": table.service,
         "worst_10s": table.worst_10s,
@@ -198,11 +208,11 @@
         "p50_ms": table.p50_ms,
         "p99_ms": table.p99_ms,
         "loads": table.loads,
-        "crossed": came.crossed,
-        "settled_s": _seconds(came.settled),
+        "crossed": result.crossed,
+        "settled_s": _seconds(result.settled),
     }, [
-        *(f"rule {one.rule}: {one.what}" for one in came.broken),
-        *(f"({one.which}) {one.what}" for one in came.invariants),
+        *(f"rule {broken.rule}: {broken.what}" for broken in result.broken),
+        *(f"({invariant.which}) {invariant.what}" for invariant in result.invariants),
     ]
 
 
@@ -210,34 +220,34 @@
     return None if ms is None else round(ms / 1000.0, 3)
 
 
-PLAYS: dict[str, Callable[[Job], tuple[dict[str, float | None], list[str]]]] = {
-    "failover": _failover,
-    "fleet": _fleet,
-    "group": _group,
-    "day": _day,
+RUNNERS: dict[str, Callable[[Job], tuple[dict[str, float | None], list[str]]]] = {
+    "failover": _run_failover,
+    "fleet": _run_fleet,
+    "group": _run_group,
+    "day": _run_day,
 }
 
 
 def run_job(job: Job) -> Row:
-    """Whatever goes wrong in one play ends that play alone."""
-    begun = time.process_time()
+    """Runs one job. An exception becomes the `problem` of its row and does not end the sweep."""
+    started_at = time.process_time()
     try:
-        figures, broken = PLAYS[job.kind](job)
-    except Exception as problem:
-        return Row(job, problem=f"{type(problem).__name__}: {problem}"[:300], seconds=time.process_time() - begun)
-    return Row(job, figures, broken[:20], "", round(time.process_time() - begun, 2))
+        figures, broken = RUNNERS[job.kind](job)
+    except Exception as error:
+        return Row(job, problem=f"{type(error).__name__}: {error}"[:300], seconds=time.process_time() - started_at)
+    return Row(job, figures, broken[:20], "", round(time.process_time() - started_at, 2))
 
 
 # A folder of results
 
 
 class ResultsError(ValueError):
-    """A folder that holds something else."""
+    """A folder that holds something other than results of this plan."""
 
 
 @dataclass
 class Results:
-    """`rows.jsonl` in `folder`."""
+    """The results of a sweep in `folder`, one per line of `rows.jsonl`."""
 
     folder: Path
 
@@ -246,58 +256,58 @@
         return self.folder / "rows.jsonl"
 
     def begin(self, plan: SweepPlan) -> dict[Job, Row]:
-        """What is there of this plan already. Raises OSError, ResultsError."""
+        """Prepares the folder and returns the results of this plan already in it. Raises OSError, ResultsError."""
         self.folder.mkdir(parents=True, exist_ok=True)
-        told = write(plan)
-        first = _First(hashlib.blake2b(told.encode(), digest_size=12).hexdigest(), plan.name)
+        text = write(plan)
+        first = _First(hashlib.blake2b(text.encode(), digest_size=12).hexdigest(), plan.name)
         if not self.path.exists():
-            (self.folder / "plan.kdl").write_text(told, encoding="utf-8")
+            (self.folder / "plan.kdl").write_text(text, encoding="utf-8")
             self._append(msgspec.json.encode(first))
             return {}
-        head, rows, whole = self._read()
+        head, rows, complete_bytes = self._read()
         if head.plan != first.plan:
             raise ResultsError(
                 f"{self.path}: expected results of the plan {plan.name!r} as it is now; "
                 "another folder, or the plan as it was"
             )
-        if whole < self.path.stat().st_size:
-            # The last line was cut off with its sweep: played again.
+        if complete_bytes < self.path.stat().st_size:
+            # The last line is incomplete because the sweep was interrupted; its job runs again.
             with open(self.path, "r+b") as out:
-                out.truncate(whole)
+                out.truncate(complete_bytes)
         return {row.job: row for row in rows}
 
     def add(self, row: Row) -> None:
         self._append(msgspec.json.encode(row))
 
     def _append(self, line: bytes):
-        before = self.path.stat().st_size if self.path.exists() else 0
+        size_before = self.path.stat().st_size if self.path.exists() else 0
         try:
             with open(self.path, "ab") as out:
                 out.write(line + b"\n")
-        except OSError as problem:
-            # Against half a line in the middle, which nobody could read later.
+        except OSError as error:
+            # Removes a partial line: later lines would follow it and make the file unreadable.
             if self.path.exists():
                 with open(self.path, "r+b") as out:
-                    out.truncate(before)
-            raise OSError(problem.errno, problem.strerror, str(self.path)) from None
+                    out.truncate(size_before)
+            raise OSError(error.errno, error.strerror, str(self.path)) from None
 
     def _read(self) -> tuple[_First, list[Row], int]:
         data = self.path.read_bytes()
-        whole = data.rfind(b"\n") + 1
-        lines = data[:whole].splitlines()
+        complete_bytes = data.rfind(b"\n") + 1
+        lines = data[:complete_bytes].splitlines()
         try:
             head = msgspec.json.decode(lines[0], type=_First)
             rows = [msgspec.json.decode(line, type=Row) for line in lines[1:]]
-        except (msgspec.MsgspecError, IndexError) as problem:
-            raise ResultsError(f"{self.path}: expected results of a sweep: {problem}") from None
-        return head, rows, whole
+        except (msgspec.MsgspecError, IndexError) as error:
+            raise ResultsError(f"{self.path}: expected results of a sweep: {error}") from None
+        return head, rows, complete_bytes
 
     def rows(self) -> list[Row]:
         """Raises OSError, ResultsError."""
         return self._read()[1]
 
     def table(self) -> Path:
-        """All rows as Parquet, a column for each figure; gives the path."""
+        """Writes all rows as Parquet with a column for each metric; returns the path."""
         import polars
 
         lines = [
@@ -316,19 +326,19 @@
 
 
 def run(plan: SweepPlan, folder: Path, workers: int, progress: Callable[[str], None] = lambda line: None) -> list[Row]:
-    """All of the plan; what stands in the folder already is not played again. Raises OSError, ResultsError."""
+    """Runs the whole plan except the jobs whose results are in the folder already. Raises OSError, ResultsError."""
     results = Results(folder)
     known = results.begin(plan)
     wanted = jobs(plan)
-    left = [job for job in wanted if job not in known]
+    remaining = [job for job in wanted if job not in known]
     if known:
-        progress(f"{plan.name}: {len(wanted) - len(left)} of {len(wanted)} plays were there already")
-    for number, row in enumerate(_all(left, workers), 1):
+        progress(f"{plan.name}: {len(wanted) - len(remaining)} of {len(wanted)} plays were there already")
+    for number, row in enumerate(_run_all(remaining, workers), 1):
         results.add(row)
         known[row.job] = row
         job = row.job
         progress(
-            f"{plan.name}: {len(wanted) - len(left) + number} of {len(wanted)}: {job.kind} {job.case}, "
+            f"{plan.name}: {len(wanted) - len(remaining) + number} of {len(wanted)}: {job.kind} {job.case}, "
             f"{job.decider}, {job.controllers} controllers, seed {job.seed}: "
             + (row.problem or f"{len(row.broken)} broken, {row.seconds:.0f} s")
         )
@@ -336,25 +346,25 @@
     return [known[job] for job in wanted]
 
 
-def _all(left: list[Job], workers: int) -> Iterator[Row]:
+def _run_all(remaining: list[Job], workers: int) -> Iterator[Row]:
     if workers <= 1:
-        yield from map(run_job, left)
+        yield from map(run_job, remaining)
         return
     with ProcessPoolExecutor(workers) as pool:
         try:
-            for done in as_completed([pool.submit(run_job, job) for job in left]):
-                yield done.result()
+            for future in as_completed([pool.submit(run_job, job) for job in remaining]):
+                yield future.result()
         finally:
             pool.shutdown(wait=False, cancel_futures=True)
 
 
 def settings_of(job: Job) -> tuple[str, str, int, int, float]:
-    """What rows that are compared with each other share."""
+    """The settings that rows must share to be compared."""
     return job.kind, job.case, job.controllers, job.invokers, job.loss
 
 
 def by_settings(rows: Iterable[Row]) -> dict[tuple[str, str, int, int, float], dict[str, dict[int, Row]]]:
-    """Rows that have figures, by settings, decider and seed."""
+    """Rows without a problem, by settings, decider and seed."""
     found: dict[tuple[str, str, int, int, float], dict[str, dict[int, Row]]] = {}
     for row in rows:
         if not row.problem:
--- a/sprucespool/lab/world.py
+++ b/sprucespool/lab/world.py
@@ -958,7 +958,8 @@
         self._later(100.0, lambda: setattr(self, "roster_up", True))
 
     def _drain_zone(self, step: Step):
-        """Gives the operators' command to the leader; repeats it for 15 s while there is none or it refuses."""
+        """Gives the operators' command to the leader; repeats it for up to 15 s while there is no leader
+        or the leader refuses for lack of capacity."""
         until = self.now + 15_000.0
 
         def ask():
--- a/tests/test_lab_days.py
+++ b/tests/test_lab_days.py
@@ -339,7 +339,7 @@
     from sprucespool.lab import report as page
 
     monkeypatch.setattr(sweep, "run_job", fake)
-    monkeypatch.setattr(page, "SPAN", 14_000.0)
+    monkeypatch.setattr(page, "DURATION_MS", 14_000.0)
     sweep.run(PLAN, tmp_path, 1)
     told = page.report(tmp_path)
     assert told.count("<svg") == 2 and "http://" not in told.replace("http://www.w3.org", "")
