--- a/sprucespool/lab/coursedays.py
+++ b/sprucespool/lab/coursedays.py
@@ -78,7 +78,7 @@
 
 
 def run_course(course: Course) -> Found:
-    """Runs a course on the module and also checks the five rules. Raises ValueError for a build that the module lacks."""
+    """Runs a course on the module and also checks the five rules. Raises ValueError for an unknown build."""
     if course.build not in MODULE_BUILDS:
         raise ValueError(f"build: expected one of {', '.join(MODULE_BUILDS)}, got {course.build!r}")
     decider = DECIDERS[course.build if course.build in DECIDERS else "hiku"]
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""Fault search in virtual time: courses that replay, a defect found and shrunk, files with one clear refusal."""
+"""Fault search in virtual time: replayed courses, a defect that is found and shrunk, error messages of course files."""
 
 import subprocess
 import sys
@@ -17,22 +17,22 @@
 from sprucespool.standin.script import Day
 
 
-def command(*words):
+def lab_command(*arguments):
     return subprocess.run(
-        [sys.executable, "-m", "sprucespool.cli.main", "lab", *map(str, words)],
+        [sys.executable, "-m", "sprucespool.cli.main", "lab", *map(str, arguments)],
         capture_output=True,
         text=True,
         timeout=120,
     )
 
 
-def test_the_same_course_plays_the_same_and_the_sound_build_keeps_all_that_must_hold():
+def test_a_course_is_deterministic_and_the_sound_build_breaks_no_invariant():
     first, again, other = (play(drawn(seed), after=46_000.0) for seed in (8, 8, 3))
     assert first == again and first.events > 10_000 and other.events != first.events
     assert first.broken == [] and other.broken == []
 
 
-def test_courses_of_chance_are_over_in_time_and_of_every_kind():
+def test_random_courses_end_in_time_and_contain_every_kind_of_fault():
     courses = [drawn(seed) for seed in range(200)]
     assert {fault.kind for course in courses for fault in course.faults} == set(KINDS)
     assert all(fault.at + fault.lasts <= 26_000.0 for course in courses for fault in course.faults)
@@ -46,12 +46,12 @@
     assert "failover a" in found.small.which
     course = load_course(found.path)
     assert course == found.small.course and run_course(course).broken == found.small.broken
-    replay = command("replay", found.path)
+    replay = lab_command("replay", found.path)
     assert replay.returncode == 1 and "(failover a) at" in replay.stdout
 
 
-def test_guided_courses_find_what_blind_ones_miss_and_the_sound_build_bears_them():
-    """Ends that few controllers are told of; a leader by its own vote alone; a plan that nobody renews."""
+def test_guided_courses_find_defects_and_the_sound_build_passes_them():
+    """Cases: ends that few controllers learn of, a leader with only its own vote, a plan that nobody renews."""
     assert "fleet c" in run_course(guided(1, "fleet-b")).which
     assert "failover a" in run_course(guided(2, "council-minority")).which
     assert "failover g" in run_course(guided(4, "council-endless")).which
@@ -61,19 +61,19 @@
 
 @settings(max_examples=100, deadline=None, derandomize=True, database=None)
 @given(st.integers(1, 6), st.sets(st.integers(0, 5), min_size=1, max_size=3), st.integers(1, 10_000))
-def test_what_is_shrunk_still_breaks_the_same_and_can_spare_no_fault(many, needed, least):
-    """Against a world that breaks when all of the needed faults are there, each long enough."""
-    many = max(many, max(needed) + 1)
-    faults = [Fault("rising", 1_000.0 * n, 12_000.0, f"z{n % 3}") for n in range(many)]
+def test_a_shrunk_course_still_breaks_and_keeps_only_the_needed_faults(fault_count, needed, min_lasts):
+    """Uses a fake world that breaks if the course has all needed faults and each of them lasts long enough."""
+    fault_count = max(fault_count, max(needed) + 1)
+    faults = [Fault("rising", 1_000.0 * n, 12_000.0, f"z{n % 3}") for n in range(fault_count)]
     wanted = {1_000.0 * n for n in needed}
 
-    def again(course):
-        there = {fault.at for fault in course.faults if fault.lasts >= least}
-        return Found(course, [BrokenInvariant("x", 0.0, "")] if wanted <= there else [])
+    def replay(course):
+        present = {fault.at for fault in course.faults if fault.lasts >= min_lasts}
+        return Found(course, [BrokenInvariant("x", 0.0, "")] if wanted <= present else [])
 
-    small = shrunk(again(Course(faults=faults)), again)
+    small = shrunk(replay(Course(faults=faults)), replay)
     assert {fault.at for fault in small.course.faults} == wanted and small.broken
-    assert all(fault.lasts < 2 * max(least, 1_000.0) + 200.0 for fault in small.course.faults)
+    assert all(fault.lasts < 2 * max(min_lasts, 1_000.0) + 200.0 for fault in small.course.faults)
 
 
 BAD = {
@@ -87,10 +87,10 @@
 
 
 @pytest.mark.parametrize("line", BAD)
-def test_a_course_with_a_typo_is_refused_with_line_and_expectation(tmp_path, line):
+def test_a_course_with_a_typo_is_rejected_with_the_line_and_what_was_expected(tmp_path, line):
     path = tmp_path / "course.kdl"
     path.write_text(f"seed 1\n{line}\n")
-    found = command("replay", path)
+    found = lab_command("replay", path)
     assert (
         found.returncode == 2
         and len(found.stderr.splitlines()) == 1
@@ -99,10 +99,10 @@
     assert "course.kdl" in found.stderr
 
 
-def test_unknown_builds_and_spans_are_refused_and_a_full_folder_is_named(tmp_path):
-    unknown = command("hunt", "--build", "oracle")
+def test_unknown_builds_malformed_seeds_and_an_unusable_folder_are_rejected(tmp_path):
+    unknown = lab_command("hunt", "--build", "oracle")
     assert unknown.returncode == 2 and "expected one of sound" in unknown.stderr
-    span = command("hunt", "--seeds", "5-1")
+    span = lab_command("hunt", "--seeds", "5-1")
     assert span.returncode == 2 and "expected FIRST-LAST" in span.stderr
     with pytest.raises(ValueError, match="build: expected one of sound"):
         run_course(msgspec.structs.replace(drawn(1), build="oracle"))
@@ -111,24 +111,26 @@
         hunt("failover-e", range(1, 3), workers=1, folder=tmp_path / "file")
 
 
-def test_a_course_as_a_day_is_played_on_the_module_and_by_whoever_reads_it(tmp_path):
+def test_a_course_converted_to_a_day_runs_on_the_module_and_can_be_read_back(tmp_path):
     course = drawn(5)
     day = as_day(course)
     assert read(Day, write(day), "day") == day and {one.kind for one in day.troubles} == {"hang", "controller-restart"}
     assert [one.what for one in day.troubles if one.at == day.troubles[-1].at] and day.lasts > 50_000.0
     found = run_course(msgspec.structs.replace(course, faults=course.faults[:1]), module=True)
     assert found.broken == [] and found.events > 10_000
-    for kind, where in KINDS_AND_PLACES.items():
-        fault = Fault(kind, 6_000.0, 5_000.0, *where)
-        made = as_day(Course(faults=[fault]))
-        assert read(Day, write(made), kind) == made and schedule(made).steps or schedule(made).faults
+    for kind, location in LOCATIONS_BY_KIND.items():
+        fault = Fault(kind, 6_000.0, 5_000.0, *location)
+        converted = as_day(Course(faults=[fault]))
+        assert (
+            read(Day, write(converted), kind) == converted and schedule(converted).steps or schedule(converted).faults
+        )
     with pytest.raises(ValueError, match="at most 32 in a day, got 300"):
         as_day(Course(controllers=300, invokers=120))
     with pytest.raises(ValueError, match="build: expected one of sound, broken-1"):
         run_course(Course(build="group-a"), module=True)
 
 
-KINDS_AND_PLACES = {
+LOCATIONS_BY_KIND = {
     kind: ("z1", "") if "`zone`" in what else ("", "c1,c2") if "`who`" in what else ("", "")
     for kind, what in {**KINDS, **KINDS_GUIDED}.items()
 }
--- a/tests/test_lab_days.py
+++ b/tests/test_lab_days.py
@@ -1,4 +1,4 @@
-"""Days in virtual time on the module itself, saved runs, sweeps and their reports."""
+"""Days in virtual time on the decision module, saved runs, sweeps and their reports."""
 
 import hashlib
 import json
@@ -42,11 +42,11 @@
 
 
 def digest(world):
-    told = msgspec.json.encode([world.notes, [repr(one) for one in (*world.noted, *world.group_noted, *world.views)]])
-    return hashlib.blake2b(told).hexdigest()
+    text = msgspec.json.encode([world.notes, [repr(one) for one in (*world.noted, *world.group_noted, *world.views)]])
+    return hashlib.blake2b(text).hexdigest()
 
 
-def test_a_day_of_trouble_keeps_the_rules_and_accounts_for_every_inference():
+def test_a_day_with_troubles_breaks_no_rule_and_accounts_for_every_inference():
     found = play(script(SOUND))
     table = found.table
     assert found.broken == [] and found.faults == 0
@@ -55,14 +55,14 @@
 
 
 @pytest.mark.parametrize("build", DAYS)
-def test_a_controller_without_one_guard_is_told_on_the_script_that_tells_it_over_sockets(build):
+def test_a_controller_without_one_guard_breaks_its_rule_on_the_script_used_over_sockets(build):
     rule = int(build[-1])
     found = play(script(DAYS[build]), DECIDERS[build], None, GATEWAYS.get(build, Gateway))
     assert rule in {broken.rule for broken in found.broken}
     assert play(script(DAYS[build])).broken == []
 
 
-def test_a_module_that_raises_costs_its_inferences_and_nothing_else():
+def test_a_module_that_raises_fails_only_the_inferences_concerned():
     class Raises(Controller):
         def handle(self, now, events):
             if now > 3_000.0 and int(now) % 7 == 0:
@@ -74,7 +74,7 @@
     assert {broken.rule for broken in found.broken} <= {2, 3, 4, 5}
 
 
-def test_time_that_stands_still_is_noticed_and_named(monkeypatch):
+def test_a_world_whose_time_does_not_advance_raises_stands_still(monkeypatch):
     world = start_day(script(SOUND))
     monkeypatch.setattr("sprucespool.emulator.group.MOST_AT_ONCE", 5_000)
 
@@ -86,7 +86,7 @@
         world.run(7_000.0)
 
 
-def test_what_has_no_meaning_without_connections_is_refused():
+def test_settings_that_need_connections_are_rejected():
     for text, named in (
         ('name "x"\nfleet\ntrouble "go-away" at="1s" lasts="1s"\n', "trouble go-away"),
         ('name "x"\nfleet\ntold "all"\n', "told: expected none"),
@@ -103,7 +103,7 @@
     'trouble "invokers-lost" at="3500ms" lasts="1s" what="a"\n'
     'trouble "controller-kill" at="4s" what="c3"\n'
 )
-GOES_ON = """
+CONTINUE_SAVED_WORLD = """
 import sys
 sys.path.insert(0, "tests")
 from pathlib import Path
@@ -115,24 +115,24 @@
 """
 
 
-def test_a_world_saved_in_the_middle_goes_on_to_the_same_bytes_in_another_process(tmp_path):
+def test_a_saved_world_continues_identically_in_another_process(tmp_path):
     whole, half = (start_day(read(Day, GROUP, "day")) for _ in range(2))
     whole.run(9_000.0)
     half.run(3_700.0)
     saving.save(half, tmp_path / "world")
-    for hashed in ("1", "2"):
+    for hash_seed in ("1", "2"):
         found = subprocess.run(
-            [sys.executable, "-c", GOES_ON, tmp_path / "world"],
+            [sys.executable, "-c", CONTINUE_SAVED_WORLD, tmp_path / "world"],
             cwd=ROOT,
             text=True,
             capture_output=True,
-            env={"PYTHONHASHSEED": hashed},
+            env={"PYTHONHASHSEED": hash_seed},
             timeout=120,
         )
         assert found.stdout.split() == [digest(whole), "9000.0"], found.stderr
 
 
-def test_a_saved_world_that_cannot_be_gone_on_from_is_refused(tmp_path, monkeypatch):
+def test_an_unusable_saved_world_is_rejected(tmp_path, monkeypatch):
     path, world = tmp_path / "world", start_day(script(SOUND))
     saving.save(world, path)
     data = path.read_bytes()
@@ -147,7 +147,7 @@
         saving.load(path)
 
 
-def test_the_same_day_for_another_fleet_has_its_part_of_traffic():
+def test_a_scaled_day_has_proportional_machines_and_traffic():
     day = script(SOUND)
     more = scaled(day, 20)
     assert [one.count for one in more.machines] == [20]
@@ -155,7 +155,7 @@
     assert start_day(more, controllers=5).controllers == 5
 
 
-def test_links_are_bad_from_when_they_are_cut_lossy_or_slow_until_they_are_well():
+def test_links_count_as_bad_while_they_are_cut_or_lossy():
     links, watch = Links(), BadLinks()
     links.put("far", ["c0"], ["i0"], LinkState(delay=15.0, jitter=3.0))
     links.put("cut", ["c1"], ["i0"], LinkState(cut="silent"), both=False)
@@ -166,31 +166,33 @@
     assert watch.all_over(50.0) == [seen.BadLink(10.0, 0, "i1", 50.0)] and watch.all_over(60.0) == []
 
 
-def asked(text, group="line"):
-    """Times and models of a group's inferences on a long day with that traffic alone."""
-    told = HEAD.replace('lasts "7s"', 'lasts "60s"').replace('traffic "bill" rate=15.0 models=3 work="40ms"\n', "")
-    day = read(Day, told.replace("models=8", f"models=8 {text}") + 'name "shape"\nfleet\n', "day")
+def arrivals(text, group="line"):
+    """Times and models of a group's inferences on a 60 s day with only this traffic."""
+    script_text = HEAD.replace('lasts "7s"', 'lasts "60s"').replace(
+        'traffic "bill" rate=15.0 models=3 work="40ms"\n', ""
+    )
+    day = read(Day, script_text.replace("models=8", f"models=8 {text}") + 'name "shape"\nfleet\n', "day")
     return [(plan.at, int(plan.model.rpartition("-")[2])) for plan in Asking(day).first() if plan.group == group]
 
 
-def test_traffic_swings_rushes_and_drifts_as_the_script_says():
-    plain = asked("")
-    assert asked("wave=0.0 rush-factor=1.0") == plain and abs(len(plain) - 3_000) < 250
-    swung = [at for at, _ in asked('wave=0.8 wave-period="60s"')]
+def test_traffic_follows_the_waves_rushes_and_drifts_of_the_script():
+    plain = arrivals("")
+    assert arrivals("wave=0.0 rush-factor=1.0") == plain and abs(len(plain) - 3_000) < 250
+    wave = [at for at, _ in arrivals('wave=0.8 wave-period="60s"')]
     # The mean of the wave over its upper half is 2 / pi.
-    assert sum(at < 30_000 for at in swung) == pytest.approx(1_500 * (1 + 0.8 * 0.637), rel=0.08)
-    assert sum(at >= 30_000 for at in swung) == pytest.approx(1_500 * (1 - 0.8 * 0.637), rel=0.12)
-    night = asked('rush-at="20s" rush-lasts="10s" rush-factor=4.0')
-    rush = [model for at, model in night if 20_000 <= at < 30_000]
-    assert len(rush) == pytest.approx(2_000, rel=0.08) and len(night) - len(rush) == pytest.approx(2_500, rel=0.08)
+    assert sum(at < 30_000 for at in wave) == pytest.approx(1_500 * (1 + 0.8 * 0.637), rel=0.08)
+    assert sum(at >= 30_000 for at in wave) == pytest.approx(1_500 * (1 - 0.8 * 0.637), rel=0.12)
+    with_rush = arrivals('rush-at="20s" rush-lasts="10s" rush-factor=4.0')
+    rush = [model for at, model in with_rush if 20_000 <= at < 30_000]
+    assert len(rush) == pytest.approx(2_000, rel=0.08) and len(with_rush) - len(rush) == pytest.approx(2_500, rel=0.08)
     first = sum(model == 0 for _, model in plain) / len(plain)
     assert rush.count(0) / len(rush) == pytest.approx(0.75 + 0.25 * first, abs=0.04)
-    moved = asked('drift="10s"')
+    drifting = arrivals('drift="10s"')
     for n in range(6):
-        span = [model for at, model in moved if 10_000 * n <= at < 10_000 * (n + 1)]
-        assert max(set(span), key=span.count) == n
+        window = [model for at, model in drifting if 10_000 * n <= at < 10_000 * (n + 1)]
+        assert max(set(window), key=window.count) == n
     with pytest.raises(SettingsError, match="expected a wave from 0 to 1"):
-        asked("wave=1.5")
+        arrivals("wave=1.5")
 
 
 # Sweeps
@@ -209,40 +211,40 @@
     return Row(job, {"service": job.seed + 0.25 * (job.decider == "common"), "settled_s": None})
 
 
-def test_a_sweep_that_is_cut_off_goes_on_and_plays_nothing_twice(tmp_path, monkeypatch):
-    count = []
+def test_an_interrupted_sweep_resumes_and_runs_no_job_twice(tmp_path, monkeypatch):
+    jobs_run = []
 
     def counted(job):
-        if len(count) == 3:
+        if len(jobs_run) == 3:
             raise KeyboardInterrupt
-        count.append(job)
+        jobs_run.append(job)
         return fake(job)
 
     monkeypatch.setattr(sweep, "run_job", counted)
     with pytest.raises(KeyboardInterrupt):
         sweep.run(PLAN, tmp_path, 1)
-    # Ended in the middle of a line, too.
+    # The file also ends in the middle of a line.
     with open(tmp_path / "rows.jsonl", "ab") as out:
         out.write(b'{"job": {"kind"')
-    first, count[:] = list(count), []
-    monkeypatch.setattr(sweep, "run_job", lambda job: count.append(job) or fake(job))
-    said = []
-    rows = sweep.run(PLAN, tmp_path, 1, said.append)
+    first, jobs_run[:] = list(jobs_run), []
+    monkeypatch.setattr(sweep, "run_job", lambda job: jobs_run.append(job) or fake(job))
+    progress = []
+    rows = sweep.run(PLAN, tmp_path, 1, progress.append)
     wanted = sweep.jobs(PLAN)
-    assert len(wanted) == 8 == len(set(wanted)) and first + count == wanted and [row.job for row in rows] == wanted
-    assert "3 of 8 plays were there already" in said[0] and "8 of 8" in said[-1]
+    assert len(wanted) == 8 == len(set(wanted)) and first + jobs_run == wanted and [row.job for row in rows] == wanted
+    assert "3 of 8 plays were there already" in progress[0] and "8 of 8" in progress[-1]
     table = polars.read_parquet(tmp_path / "rows.parquet")
     assert table.height == 8 and table.filter(polars.col("decider") == "common")["service"].to_list() == [1.25, 2.25]
     with pytest.raises(ResultsError, match="another folder, or the plan as it was"):
         sweep.run(msgspec.structs.replace(PLAN, seeds=3), tmp_path, 1)
 
 
-def test_a_play_that_fails_ends_alone_and_says_why():
+def test_a_failing_job_reports_its_error_and_does_not_raise():
     row = sweep.run_job(Job("day", "days/nowhere.kdl", "hiku", 3, 12, 0.0, 1))
     assert row.problem.startswith("FileNotFoundError") and row.figures == {}
 
 
-def test_what_is_played_tells_figures_of_its_kind():
+def test_each_kind_of_job_reports_its_metrics():
     found = [
         sweep.run_job(job)
         for job in sweep.jobs(
@@ -265,14 +267,14 @@
     assert fleet["late_forwards"] == 0 and 0.5 < day["service"] <= 1.0
 
 
-def test_a_full_disk_is_named_and_leaves_whole_lines(tmp_path):
+def test_a_full_disk_is_reported_and_leaves_only_complete_lines(tmp_path):
     plan = tmp_path / "plan.kdl"
     plan.write_text('name "full"\nseeds 4\nexperiment "group" case="steady" controllers="3"\n')
 
     def small():
         resource.setrlimit(resource.RLIMIT_FSIZE, (700, 700))
 
-    words = [
+    arguments = [
         sys.executable,
         "-m",
         "sprucespool.cli.main",
@@ -284,12 +286,12 @@
         "--workers",
         "1",
     ]
-    full = subprocess.run(words, capture_output=True, text=True, preexec_fn=small, timeout=120)
+    full = subprocess.run(arguments, capture_output=True, text=True, preexec_fn=small, timeout=120)
     assert full.returncode == 2 and "File too large" in full.stderr.splitlines()[-1] and "rows.jsonl" in full.stderr
-    there = Results(tmp_path / "out").rows()
-    assert 0 < len(there) < 4
-    again = subprocess.run(words, capture_output=True, text=True, timeout=120)
-    assert again.returncode == 0 and f"{len(there)} of 4 plays were there already" in again.stderr
+    rows = Results(tmp_path / "out").rows()
+    assert 0 < len(rows) < 4
+    again = subprocess.run(arguments, capture_output=True, text=True, timeout=120)
+    assert again.returncode == 0 and f"{len(rows)} of 4 plays were there already" in again.stderr
     assert len(Results(tmp_path / "out").rows()) == 4
 
 
@@ -304,7 +306,7 @@
 
 
 @pytest.mark.parametrize("line", BAD)
-def test_a_plan_with_a_typo_is_refused_with_line_and_expectation(tmp_path, line):
+def test_a_plan_with_a_typo_is_rejected_with_the_line_and_what_was_expected(tmp_path, line):
     path = tmp_path / "plan.kdl"
     path.write_text(f'name "x"\n{line}\n')
     found = subprocess.run(
@@ -319,15 +321,15 @@
 
 @settings(max_examples=60, deadline=None, derandomize=True, database=None)
 @given(st.lists(st.floats(-5, 5), min_size=1, max_size=12), st.floats(-3, 3))
-def test_an_interval_lies_about_the_mean_and_moves_with_the_differences(values, by):
-    least, most = interval(values)
+def test_an_interval_contains_the_mean_and_shifts_with_the_differences(values, by):
+    lower, upper = interval(values)
     mean = sum(values) / len(values)
-    assert min(values) - 1e-9 <= least <= mean + 1e-9 and mean - 1e-9 <= most <= max(values) + 1e-9
+    assert min(values) - 1e-9 <= lower <= mean + 1e-9 and mean - 1e-9 <= upper <= max(values) + 1e-9
     moved = interval([value + by for value in values])
-    assert moved == pytest.approx((least + by, most + by), abs=1e-6)
+    assert moved == pytest.approx((lower + by, upper + by), abs=1e-6)
 
 
-def test_deciders_are_compared_by_seed_and_only_over_seeds_that_both_have():
+def test_deciders_are_compared_only_over_seeds_that_both_have():
     rows = [fake(job) for job in sweep.jobs(PLAN) if job.kind == "failover"]
     rows.append(Row(Job("failover", "zone lost 5 s", "common", 6, 12, 0.0, 9), {"service": 99.0}))
     today, common = compare_rows(rows)
@@ -335,35 +337,40 @@
     assert common.more == 0.25 == common.least == common.most and common.clear and common.seeds == 3
 
 
-def test_a_report_is_one_page_with_tables_charts_and_the_failover_over_time(tmp_path, monkeypatch):
+def test_a_report_is_one_page_with_tables_charts_and_failovers_over_time(tmp_path, monkeypatch):
     from sprucespool.lab import report as page
 
     monkeypatch.setattr(sweep, "run_job", fake)
     monkeypatch.setattr(page, "DURATION_MS", 14_000.0)
     sweep.run(PLAN, tmp_path, 1)
-    told = page.report(tmp_path)
-    assert told.count("<svg") == 2 and "http://" not in told.replace("http://www.w3.org", "")
-    assert '<td class="clear">+0.25</td>' in told and "zone lost 5 s over time" in told
-    assert "Simulated servers" in told and 'experiment "group"' in told.replace("&#34;", '"')
+    html = page.report(tmp_path)
+    assert html.count("<svg") == 2 and "http://" not in html.replace("http://www.w3.org", "")
+    assert '<td class="clear">+0.25</td>' in html and "zone lost 5 s over time" in told
+    assert "Simulated servers" in html and 'experiment "group"' in html.replace("&#34;", '"')
 
 
-def test_a_day_plays_from_the_command_line_and_a_saved_one_goes_on(tmp_path):
+def test_a_day_runs_from_the_command_line_and_a_saved_one_continues(tmp_path):
     path = tmp_path / "day.kdl"
     path.write_text(HEAD + SOUND)
-    words = [sys.executable, "-m", "sprucespool.cli.main", "lab"]
-    whole = subprocess.run([*words, "day", path, "--json"], capture_output=True, text=True, timeout=60)
+    arguments = [sys.executable, "-m", "sprucespool.cli.main", "lab"]
+    whole = subprocess.run([*arguments, "day", path, "--json"], capture_output=True, text=True, timeout=60)
     assert whole.returncode == 0, whole.stderr
     half = subprocess.run(
-        [*words, "day", path, "--save", tmp_path / "world", "--at", "3s"], capture_output=True, text=True, timeout=60
+        [*arguments, "day", path, "--save", tmp_path / "world", "--at", "3s"],
+        capture_output=True,
+        text=True,
+        timeout=60,
     )
     assert half.returncode == 0 and "stands at 3.0 s" in half.stdout
-    rest = subprocess.run([*words, "go-on", tmp_path / "world", "--json"], capture_output=True, text=True, timeout=60)
+    rest = subprocess.run(
+        [*arguments, "go-on", tmp_path / "world", "--json"], capture_output=True, text=True, timeout=60
+    )
     assert json.loads(rest.stdout) == json.loads(whole.stdout) and json.loads(rest.stdout)["rules_broken"] == 0
 
 
-def test_misses_behind_a_small_library_take_no_zone_its_traffic():
-    """Seen at 120 invokers: each miss counted against its zone's health, all zones fell to a twenty-fifth, and the plan
-    shed four fifths of all for as long as anybody looked."""
+def test_misses_caused_by_a_small_library_do_not_lower_a_zones_trust():
+    """With 120 invokers each miss counted against its zone's health: the trust of all zones fell to a twenty-fifth, and
+    the plan shed four fifths of all requests without recovering."""
     day = read(Day, (ROOT / "days/region-lost.kdl").read_text(), "region-lost")
     world = start_day(
         msgspec.structs.replace(
@@ -373,10 +380,10 @@
     world.run(6_000.0)
     trusts = [world.parts[world.members[name]].gauge.trust for name in ("c0", "c1", "c2")]
     misses = sum(isinstance(one, seen.Went) and one.how == "missed" for one in world.notes)
-    assert misses > 500 and all(trust >= 0.9 for told in trusts for trust in told.values())
+    assert misses > 500 and all(trust >= 0.9 for zone_trust in trusts for trust in zone_trust.values())
 
 
-def test_a_day_for_another_fleet_has_a_library_for_it():
+def test_a_scaled_day_has_a_proportional_library():
     day = read(Day, (ROOT / "days/region-lost.kdl").read_text(), "region-lost")
     large = scaled(day, 180)
     assert sum(one.count for one in large.machines) == 180 and large.library.smooth == 10 * day.library.smooth
@@ -387,29 +394,30 @@
     return read(Day, USERS + text, "day")
 
 
-def open_at_most(notes):
-    """Most tries out at once, of any user's; ends are what clients saw."""
+def users_with_open_requests(notes):
+    """Returns the maximum number of users with an open request, and the requests by user. Requests end as clients see
+    it."""
     ends = (seen.Answer, seen.NoAnswer, seen.LeftEarly, seen.Unreached)
-    out, most, each = {}, 0, {}
+    pending, max_users, by_user = {}, 0, {}
     for one in sorted((one for one in notes if isinstance(one, (seen.Sent, *ends))), key=lambda one: one.t):
         if isinstance(one, seen.Sent):
             user = one.root.rpartition("-")[0]
             if "u" in user:
-                out[one.id] = user
-                each[user] = each.get(user, 0) + 1
+                pending[one.id] = user
+                by_user[user] = by_user.get(user, 0) + 1
         else:
-            out.pop(one.id, None)
-        most = max(most, len(set(out.values())))
-        assert len(set(out.values())) == len(out), "a user asks one thing at a time"
-    return most, each
+            pending.pop(one.id, None)
+        max_users = max(max_users, len(set(pending.values())))
+        assert len(set(pending.values())) == len(pending), "a user asks one thing at a time"
+    return max_users, by_user
 
 
-def test_users_ask_again_when_they_have_their_answer_and_less_where_answers_are_slow():
+def test_users_wait_for_an_answer_and_send_less_when_answers_are_slow():
     quick, slow = play(with_users()), play(with_users('trouble "crawl" at="0s" lasts="7s" share=1.0 factor=8.0\n'))
     world = start_day(with_users())
     world.run(20_000.0)
-    most, each = open_at_most(world.notes)
-    assert 1 < most <= 12 and len(each) == 12 and min(each.values()) > 3
+    max_users, by_user = users_with_open_requests(world.notes)
+    assert 1 < max_users <= 12 and len(by_user) == 12 and min(by_user.values()) > 3
     assert quick.broken == slow.broken == []
     assert slow.table.taken < 0.8 * quick.table.taken, "who waits does not ask"
     again = start_day(with_users())
@@ -417,7 +425,7 @@
     assert digest(again) == digest(world)
 
 
-def test_one_slow_user_on_a_short_day_may_ask_for_what_is_wanted_once():
+def test_one_slow_user_on_a_short_day_requests_only_one_scan_model():
     day = script('name "x"\ntraffic "line" users=1 think="30s"\ntrouble "scan" at="0s" lasts="7s" share=1.0\n')
     number = len(day.traffics) - 1
     models = {
@@ -428,26 +436,26 @@
     assert models == {"line-once-0"} and "line-once-0" in catalog(day)
 
 
-def test_traffic_comes_at_a_rate_or_of_users():
+def test_traffic_has_either_a_rate_or_users():
     for wrong in ("rate=5.0 users=3", "models=4", 'users=3 think="0s"'):
         with pytest.raises(SettingsError, match="rate above 0 or users|think above 0"):
             script(f'name "x"\ntraffic "line" {wrong}\n')
 
 
-def recorded(path, calls):
-    """A controller's record of these (ms, inputs)."""
+def write_record(path, calls):
+    """Writes a controller's record of these (ms, inputs)."""
     with open(path, "wb") as sink:
         recorder = Recorder(Gateway(deployment(groups=[group("line")]), 1, lambda effect: None), sink)
         for now, inputs in calls:
             recorder.take(now, inputs)
 
 
-def test_what_controllers_were_asked_is_asked_again_on_a_day(tmp_path):
-    recorded(
+def test_recorded_requests_of_controllers_can_be_replayed_as_a_day(tmp_path):
+    write_record(
         tmp_path / "c0.inputs",
         [(5_000.0 + 100 * n, [ms.Call(f"a{n}", "line", "m1", 900.0, work=40.0)]) for n in range(40)],
     )
-    recorded(
+    write_record(
         tmp_path / "c1.inputs",
         [
             (
@@ -459,10 +467,10 @@
     )
     out = tmp_path / "trace.jsonl"
     command = [sys.executable, "-m", "sprucespool.cli.main", "lab", "trace", "--out", str(out)]
-    told = subprocess.run(
+    result = subprocess.run(
         [*command, str(tmp_path / "c0.inputs"), str(tmp_path / "c1.inputs")], capture_output=True, text=True
     )
-    assert told.returncode == 0 and told.stdout.startswith("60 inferences of 3.9 s"), told.stderr
+    assert result.returncode == 0 and result.stdout.startswith("60 inferences of 3.9 s"), result.stderr
     asks = [json.loads(line) for line in out.read_text().splitlines()]
     assert [ask["at"] for ask in asks[:3]] == [0.0, 50.0, 100.0]
     assert asks[1]["work"] == 80.0 and asks[0]["wait"] == 900.0
@@ -470,8 +478,8 @@
     day = read(Day, "\n".join(lines) + '\nname "again"\nrecorded "trace.jsonl" speed=2.0\n', "day")
     whole = with_recorded(day, tmp_path)
     assert [ask.at for ask in whole.asks[:3]] == [0.0, 25.0, 50.0] and whole.asks[-1].at == 1_950.0
-    came = play(whole)
-    assert came.broken == [] and came.table.taken >= 60 and came.table.in_slo_time > 30
+    day_result = play(whole)
+    assert day_result.broken == [] and day_result.table.taken >= 60 and day_result.table.in_slo_time > 30
     assert {one.model for one in Asking(whole).first()} == {"m0", "m1", "m2"}
     out.write_text(out.read_text() + '{"group": "line", "at": 3, "model": 7}\n')
     with pytest.raises(ValueError, match=r"trace.jsonl:61: Expected `str`, got `int` - at `\$.model`"):
