--- a/tests/test_lab_days.py
+++ b/tests/test_lab_days.py
@@ -345,7 +345,7 @@
     sweep.run(PLAN, tmp_path, 1)
     html = page.report(tmp_path)
     assert html.count("<svg") == 2 and "http://" not in html.replace("http://www.w3.org", "")
-    assert '<td class="clear">+0.25</td>' in html and "zone lost 5 s over time" in told
+    assert '<td class="clear">+0.25</td>' in html and "zone lost 5 s over time" in html
     assert "Simulated servers" in html and 'experiment "group"' in html.replace("&#34;", '"')
 
 
