--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -1,8 +1,9 @@
-"""Cost of the decisions alone: the module on generated days in virtual time, no bench and no socket.
+"""CPU cost of the decision module alone, on generated days in virtual time without sockets.
 
     python benchmarks/decisions.py [--sizes] [--hard] [--against OLD_POLICY.py] [--json FILE]
 
-`--sizes`: 3, 30, 300 invokers by 10 to 10,000 models; `--hard`: the hard cases. Microseconds of CPU in `handle`.
+`--sizes` runs 3, 30 and 300 invokers with 10 to 10,000 models, `--hard` the hard cases. Times are microseconds of CPU
+in `handle`.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 from sprucespool.policy import Controller
 
 
-def deployment(**over) -> it.Deployment:
+def deployment(**overrides) -> it.Deployment:
     group = it.ModelGroup("line", 600.0, 0.0, 2500.0, 1.0, 0.1, it.Effect.RETRIABLE, it.Scope.ALL, 0.0, False)
     facts = dict(
         controllers=1,
@@ -63,33 +64,33 @@
         crossing_price=0.0,
         handshake_price=0.0,
     )
-    return it.Deployment(**{**facts, **over})
+    return it.Deployment(**{**facts, **overrides})
 
 
 class Timed:
-    """A module with its cost by kind of event; a batch's time goes to the kinds in it evenly. What comes before
-    `since` (ms) is not counted: the first loads of a cold fleet."""
+    """Wraps a module and measures its CPU time by kind of event; the time of a batch is divided evenly among its
+    events. Batches before `since` (ms) are not counted, because a cold fleet loads its first models then."""
 
     def __init__(self, dep: it.Deployment, seed: int, decider=Controller, since: float = 0.0):
         self.module, self.since = decider(dep, seed), since
-        self.spent: dict[str, float] = defaultdict(float)
+        self.spent_us: dict[str, float] = defaultdict(float)
         self.count: dict[str, int] = defaultdict(int)
         self.worst, self.worst_events, self.worst_at = 0.0, 0, 0.0
 
     def handle(self, now, events):
-        begun = time.process_time_ns()
+        started_at = time.process_time_ns()
         actions = self.module.handle(now, events)
-        took = (time.process_time_ns() - begun) / 1000.0
+        elapsed_us = (time.process_time_ns() - started_at) / 1000.0
         if now < self.since:
             return actions
         for event in events:
             name = type(event).__name__
             if name == "TimerDue":
                 name += " pulse" if event.token == 1 else " due"
-            self.spent[name] += took / len(events)
+            self.spent_us[name] += elapsed_us / len(events)
             self.count[name] += 1
-        if took > self.worst:
-            self.worst, self.worst_events, self.worst_at = took, len(events), now
+        if elapsed_us > self.worst:
+            self.worst, self.worst_events, self.worst_at = elapsed_us, len(events), now
         return actions
 
 
@@ -103,66 +104,68 @@
     return module.Controller
 
 
-def run(plan: SoloPlan, module=Controller, since: float = 0.0, **over) -> dict:
+def run(plan: SoloPlan, module=Controller, since: float = 0.0, **overrides) -> dict:
     timed: list[Timed] = []
 
     def decider(dep, seed):
         timed.append(Timed(dep, seed, module, since))
         return timed[0]
 
-    solo = Solo(deployment(**over), plan, decider)
-    # The collector goes through the whole simulated fleet as well: its pauses are not the decisions'.
+    solo = Solo(deployment(**overrides), plan, decider)
+    # The garbage collector is off: it would also traverse the simulated fleet, and its pauses would count as decisions.
     gc.collect()
     gc.disable()
     solo.run()
     gc.enable()
-    one = timed[0]
-    taken = one.count["Arrived"]
+    measured = timed[0]
+    accepted = measured.count["Arrived"]
     return {
-        "taken": taken,
-        "us_an_inference": round(sum(one.spent.values()) / max(1, taken), 1),
+        "taken": accepted,
+        "us_an_inference": round(sum(measured.spent_us.values()) / max(1, accepted), 1),
         "answers": solo.answers,
-        "us_an_event": {name: round(one.spent[name] / count, 1) for name, count in sorted(one.count.items())},
-        "events": dict(sorted(one.count.items())),
-        "worst_batch_ms": round(one.worst / 1000, 1),
-        "worst_batch_events": one.worst_events,
+        "us_an_event": {
+            name: round(measured.spent_us[name] / count, 1) for name, count in sorted(measured.count.items())
+        },
+        "events": dict(sorted(measured.count.items())),
+        "worst_batch_ms": round(measured.worst / 1000, 1),
+        "worst_batch_events": measured.worst_events,
     }
 
 
-WARM_UP = 10_000.0
+WARM_UP_MS = 10_000.0
 
 
-def share(invokers: int, models: int, controllers: int = 1, **over) -> tuple[SoloPlan, dict]:
-    """One controller's part of a fleet that carries about as much as it can."""
+def share(invokers: int, models: int, controllers: int = 1, **overrides) -> tuple[SoloPlan, dict]:
+    """The plan of one controller's share of a fleet that runs near its capacity."""
     rate = max(2.0, invokers * 25.0 / controllers)
-    seconds = max(WARM_UP / 1000.0 + 5.0, min(120.0, 6000.0 / rate))
-    return SoloPlan(invokers=invokers, models=models, rate=rate, lasts=seconds * 1000.0, **over), {
+    seconds = max(WARM_UP_MS / 1000.0 + 5.0, min(120.0, 6000.0 / rate))
+    return SoloPlan(invokers=invokers, models=models, rate=rate, lasts=seconds * 1000.0, **overrides), {
         "controllers": controllers
     }
 
 
 def sizes(against: str | None) -> list[dict]:
-    """Steady traffic by size, after the first loads; `before` of an earlier module in the same run."""
-    found = []
+    """Steady traffic by size, after the first loads. `before` is the cost of an earlier module in the same run."""
+    results = []
     for controllers in (1, 300):
         for invokers in (3, 30, 300):
             for models in (10, 100, 1000, 10_000):
-                plan, over = share(invokers, models, controllers)
+                plan, overrides = share(invokers, models, controllers)
                 row = {
                     "controllers": controllers,
                     "invokers": invokers,
                     "models": models,
-                    **run(plan, since=WARM_UP, **over),
+                    **run(plan, since=WARM_UP_MS, **overrides),
                 }
                 if against:
-                    row["before"] = run(plan, other_module(against), since=WARM_UP, **over)["us_an_inference"]
-                found.append(row)
+                    row["before"] = run(plan, other_module(against), since=WARM_UP_MS, **overrides)["us_an_inference"]
+                results.append(row)
                 shown = ("controllers", "invokers", "models", "taken", "us_an_inference", "before", "worst_batch_ms")
                 print({key: row[key] for key in shown if key in row}, file=sys.stderr, flush=True)
-    return found
+    return results
 
 
-HARD = {
+HARD_CASES = {
     "the day of the issue (one of 262 controllers)": (
         SoloPlan(
             invokers=63,
@@ -218,24 +221,24 @@
     parser.add_argument("--only")
     parser.add_argument("--against", help="an earlier policy file, to time in the same run")
     parser.add_argument("--json", type=Path)
-    asked = parser.parse_args()
-    found: dict = {}
-    if asked.hard or asked.only or not asked.sizes:
-        found["hard"] = {}
-        for name, (plan, over) in HARD.items():
-            if asked.only and asked.only not in name:
+    args = parser.parse_args()
+    results: dict = {}
+    if args.hard or args.only or not args.sizes:
+        results["hard"] = {}
+        for name, (plan, overrides) in HARD_CASES.items():
+            if args.only and args.only not in name:
                 continue
-            found["hard"][name] = row = run(plan, **over)
-            if asked.against:
-                before = run(plan, other_module(asked.against), **over)
+            results["hard"][name] = row = run(plan, **overrides)
+            if args.against:
+                before = run(plan, other_module(args.against), **overrides)
                 row["before"] = {key: before[key] for key in ("us_an_inference", "worst_batch_ms")}
             shown = ("taken", "us_an_inference", "worst_batch_ms", "worst_batch_events", "before")
             print(name, {key: row[key] for key in shown if key in row}, file=sys.stderr, flush=True)
-    if asked.sizes:
-        found["sizes"] = sizes(asked.against)
-    print(json.dumps(found, indent=1))
-    if asked.json:
-        asked.json.write_text(json.dumps(found, indent=1) + "\n")
+    if args.sizes:
+        results["sizes"] = sizes(args.against)
+    print(json.dumps(results, indent=1))
+    if args.json:
+        args.json.write_text(json.dumps(results, indent=1) + "\n")
 
 
 if __name__ == "__main__":
--- a/benchmarks/event_queue.py
+++ b/benchmarks/event_queue.py
@@ -1,4 +1,5 @@
-"""The world's queue of events, heapq, against buckets of a millisecond: hold as many as a day does, take one, put one.
+"""Compares the simulation's event queue (heapq) with one of millisecond buckets. Each step takes an event and adds one,
+while the queue holds about as many events as on a day.
 
 python benchmarks/event_queue.py [--held 1000,10000,100000] [--events 1000000]
 """
@@ -14,63 +15,63 @@
 
 class Heap:
     def __init__(self):
-        self.held: list = []
+        self.events: list = []
 
-    def put(self, one):
-        heapq.heappush(self.held, one)
+    def put(self, event):
+        heapq.heappush(self.events, event)
 
     def take(self):
-        return heapq.heappop(self.held)
+        return heapq.heappop(self.events)
 
 
 class Buckets:
-    """Sorted only when their millisecond comes; which come next is a heap of numbers."""
+    """Events by millisecond; a bucket is sorted only when its millisecond is reached. A heap holds the bucket numbers."""
 
     def __init__(self):
-        self.held: dict[int, list] = defaultdict(list)
-        self.order: list[int] = []
-        self.now: list = []
+        self.events: dict[int, list] = defaultdict(list)
+        self.bucket_order: list[int] = []
+        self.current: list = []
         self.number = -1
 
-    def put(self, one):
-        number = int(one[0])
+    def put(self, event):
+        number = int(event[0])
         if number <= self.number:
-            heapq.heappush(self.now, one)
+            heapq.heappush(self.current, event)
             return
-        if number not in self.held:
-            heapq.heappush(self.order, number)
-        self.held[number].append(one)
+        if number not in self.events:
+            heapq.heappush(self.bucket_order, number)
+        self.events[number].append(event)
 
     def take(self):
-        if not self.now:
-            self.number = heapq.heappop(self.order)
-            self.now = self.held.pop(self.number)
-            heapq.heapify(self.now)
-        return heapq.heappop(self.now)
+        if not self.current:
+            self.number = heapq.heappop(self.bucket_order)
+            self.current = self.events.pop(self.number)
+            heapq.heapify(self.current)
+        return heapq.heappop(self.current)
 
 
-def measured(kind, held: int, events: int) -> tuple[float, float]:
-    """Microseconds an event, and the sum of times taken, which both must have alike."""
+def measure(kind, held: int, events: int) -> tuple[float, float]:
+    """Returns the microseconds per event and the sum of the event times, which must be equal for both queues."""
     chance, queue = random.Random(1), kind()
     for number in range(held):
         queue.put((chance.expovariate(1 / 300.0), number, None))
     gaps = [chance.expovariate(1 / 300.0) for _ in range(events)]
-    total, begun = 0.0, time.process_time()
+    total, started_at = 0.0, time.process_time()
     for number, gap in enumerate(gaps, held):
         at = queue.take()[0]
         total += at
         queue.put((at + gap, number, None))
-    return 1e6 * (time.process_time() - begun) / events, total
+    return 1e6 * (time.process_time() - started_at) / events, total
 
 
 def main() -> None:
     parser = argparse.ArgumentParser()
     parser.add_argument("--held", default="1000,10000,100000")
     parser.add_argument("--events", type=int, default=1_000_000)
-    told = parser.parse_args()
-    for held in map(int, told.held.split(",")):
-        (heap, one), (buckets, other) = measured(Heap, held, told.events), measured(Buckets, held, told.events)
-        assert one == other, "the two took events in different orders"
+    args = parser.parse_args()
+    for held in map(int, args.held.split(",")):
+        (heap, heap_sum), (buckets, buckets_sum) = measure(Heap, held, args.events), measure(Buckets, held, args.events)
+        assert heap_sum == buckets_sum, "the two took events in different orders"
         print(f"{held} held: heapq {heap:.2f} us an event, buckets {buckets:.2f}", flush=True)
 
 
--- a/benchmarks/failover.py
+++ b/benchmarks/failover.py
@@ -1,8 +1,8 @@
-"""What each way of deciding where traffic goes makes of the same troubles, in virtual time, over seeds.
+"""Compares the deciders of zone failover on the same troubles over several seeds, in virtual time.
 
     python benchmarks/failover.py [--seeds 10] [--size 24] [--boxes 36] [--cases quiet,...] [--deciders today,...]
 
-Simulated invokers, links and clients: the figures compare, they promise nothing. One line a run as JSON with --json.
+Invokers, links and clients are simulated: the numbers are for comparison only. `--json` prints one JSON line per run.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 from sprucespool.emulator.plans import CASES, DECIDERS, play
 
 
-def one(job):
+def run_job(job):
     case, decider, seed, size, boxes = job
-    begun = time.process_time()
-    came = play(case, decider, seed, size, boxes)
-    return case, {**asdict(came), "cpu_s": round(time.process_time() - begun, 1)}
+    started_at = time.process_time()
+    result = play(case, decider, seed, size, boxes)
+    return case, {**asdict(result), "cpu_s": round(time.process_time() - started_at, 1)}
 
 
 def main():
@@ -37,35 +37,35 @@
     parser.add_argument("--deciders", default=",".join(DECIDERS))
     parser.add_argument("--workers", type=int, default=4)
     parser.add_argument("--json", action="store_true")
-    told = parser.parse_args()
+    args = parser.parse_args()
     jobs = [
-        (case, decider, seed, told.size, told.boxes)
-        for case in told.cases.split(",")
-        for decider in told.deciders.split(",")
-        for seed in range(1, told.seeds + 1)
+        (case, decider, seed, args.size, args.boxes)
+        for case in args.cases.split(",")
+        for decider in args.deciders.split(",")
+        for seed in range(1, args.seeds + 1)
     ]
-    found: dict[tuple[str, str], list[dict]] = {}
-    with ProcessPoolExecutor(told.workers) as pool:
-        for case, came in pool.map(one, jobs):
-            found.setdefault((case, came["decider"]), []).append(came)
-            if told.json:
-                print(json.dumps({"case": case, **came}), flush=True)
+    runs_by_case: dict[tuple[str, str], list[dict]] = {}
+    with ProcessPoolExecutor(args.workers) as pool:
+        for case, result in pool.map(run_job, jobs):
+            runs_by_case.setdefault((case, result["decider"]), []).append(result)
+            if args.json:
+                print(json.dumps({"case": case, **result}), flush=True)
     print(
-        f"{told.size} controllers, {told.boxes} invokers, {told.seeds} seeds; service mean (deviation), worst 10 s, "
+        f"{args.size} controllers, {args.boxes} invokers, {args.seeds} seeds; service mean (deviation), worst 10 s, "
         "shed, crossings, plans, ms until one plan is followed (last fault on) and near traffic back, at the most"
     )
-    for (case, decider), runs in found.items():
+    for (case, decider), runs in runs_by_case.items():
 
-        def of(name, runs=runs):
+        def values_of(name, runs=runs):
             return [run[name] for run in runs]
 
-        spread = stdev(of("service")) if len(runs) > 1 else 0.0
-        settled, back = ([value for value in of(name) if value is not None] for name in ("settled", "near"))
+        spread = stdev(values_of("service")) if len(runs) > 1 else 0.0
+        settled, back = ([value for value in values_of(name) if value is not None] for name in ("settled", "near"))
         print(
-            f"| {case} | {decider} | {mean(of('service')):.4f} ({spread:.4f}) | {mean(of('worst_10s')):.3f} | "
-            f"{mean(of('shed')):.3f} | {mean(of('crossed')):.3f} | {mean(of('plans')):.0f} | "
+            f"| {case} | {decider} | {mean(values_of('service')):.4f} ({spread:.4f}) | {mean(values_of('worst_10s')):.3f} | "
+            f"{mean(values_of('shed')):.3f} | {mean(values_of('crossed')):.3f} | {mean(values_of('plans')):.0f} | "
             f"{max(settled, default=-1):.0f} ({len(settled)}) | {max(back, default=-1):.0f} ({len(back)}) | "
-            f"{sum(bool(run['broken']) for run in runs)} broken | {mean(of('cpu_s')):.0f} s |",
+            f"{sum(bool(run['broken']) for run in runs)} broken | {mean(values_of('cpu_s')):.0f} s |",
             flush=True,
         )
         for line in sorted({line for run in runs for line in run["broken"]})[:4]:
--- a/benchmarks/learning.py
+++ b/benchmarks/learning.py
@@ -1,5 +1,5 @@
-"""What told knowledge costs: memory, bytes and CPU a page for 10,000 models on 500 invokers, and the bucketed store
-beside a dict that is sorted for each look.
+"""Cost of sharing knowledge with a joining controller: memory, bytes and CPU per page for 10,000 models on 500 invokers.
+Also compares the bucketed claim store with a dict that is sorted at each expiry.
 
     python benchmarks/learning.py
 """
@@ -14,7 +14,7 @@
 from sprucespool.learning import Claim, ClaimStore, JoiningController, Row, decode, encode
 from sprucespool.learning.joining import PageBuilder
 
-KEEP, MODELS, INVOKERS = 10_000.0, 10_000, 500
+KEEP_MS, MODELS, INVOKERS = 10_000.0, 10_000, 500
 
 
 def claims(count: int, chance: random.Random) -> list[Claim]:
@@ -25,7 +25,7 @@
             f"model-{n % MODELS}",
             1,
             2,
-            chance.uniform(0, KEEP),
+            chance.uniform(0, KEEP_MS),
             1,
             "s",
         )
@@ -33,16 +33,16 @@
     ]
 
 
-class Plain:
-    """The same, as one would write it first: a dict, sorted for each look."""
+class SortedDictStore:
+    """The simplest claim store: a dict that is sorted at each expiry."""
 
     def __init__(self, keep: float):
         self.keep, self.claims = keep, {}
 
-    def merge(self, found):
-        for claim in found:
-            held = self.claims.get(claim.key)
-            if held is None or held.rank < claim.rank:
+    def merge(self, claims):
+        for claim in claims:
+            known = self.claims.get(claim.key)
+            if known is None or known.rank < claim.rank:
                 self.claims[claim.key] = claim
 
     def expire(self, now: float):
@@ -53,23 +53,23 @@
 
 
 def timed(work) -> float:
-    begun = time.process_time()
+    started_at = time.process_time()
     work()
-    return (time.process_time() - begun) * 1000.0
+    return (time.process_time() - started_at) * 1000.0
 
 
 def store(make) -> dict:
     chance = random.Random(1)
-    found, more = claims(20_000, chance), claims(2_000, chance)
-    one = make()
-    merged = timed(lambda: one.merge(found))
+    initial, updates = claims(20_000, chance), claims(2_000, chance)
+    claim_store = make()
+    merge_ms = timed(lambda: claim_store.merge(initial))
 
     def run():
         for step in range(200):
-            one.merge(more[step * 10 : step * 10 + 10])
-            one.expire(KEEP + step * 50.0)
+            claim_store.merge(updates[step * 10 : step * 10 + 10])
+            claim_store.expire(KEEP_MS + step * 50.0)
 
-    return {"merge_20000_ms": round(merged, 1), "200_looks_ms": round(timed(run), 1)}
+    return {"merge_20000_ms": round(merge_ms, 1), "200_looks_ms": round(timed(run), 1)}
 
 
 def main() -> None:
@@ -81,38 +81,41 @@
             f"model-{n}",
             1,
             2,
-            chance.uniform(0, KEEP / 2),
+            chance.uniform(0, KEEP_MS / 2),
             0,
         )
         for n in range(MODELS)
     ]
-    teller = PageBuilder()
-    made = timed(
-        lambda: teller.rebuild(0.0, [(r.invoker, r.boot, r.model, 1, 2, r.age, True) for r in rows], lambda *_: None)
+    builder = PageBuilder()
+    build_ms = timed(
+        lambda: builder.rebuild(0.0, [(r.invoker, r.boot, r.model, 1, 2, r.age, True) for r in rows], lambda *_: None)
     )
-    page, _ = teller.page(10.0, 0, 200)
+    page, _ = builder.page(10.0, 0, 200)
     data = encode(page)
-    found = {
+    result = {
         "rows": MODELS,
         "invokers": INVOKERS,
-        "made_ms": round(made, 1),
+        "made_ms": round(build_ms, 1),
         "page_rows": 200,
         "page_bytes": len(data),
-        "whole_bytes": len(encode(teller.rows)),
+        "whole_bytes": len(encode(builder.rows)),
         "page_encode_ms": round(timed(lambda: [encode(page) for _ in range(100)]) / 100, 3),
         "page_decode_ms": round(timed(lambda: [decode(data) for _ in range(100)]) / 100, 3),
     }
     tracemalloc.start()
-    newcomer = JoiningController(["s"], KEEP)
-    newcomer.roster_changed(0.0, {(row.invoker, row.boot) for row in rows})
-    newcomer.start(0.0)
-    found["take_in_ms"] = round(
-        timed(lambda: [newcomer.page_received(1.0, "s", rows[n : n + 200], True) for n in range(0, MODELS, 200)]), 1
+    joining = JoiningController(["s"], KEEP_MS)
+    joining.roster_changed(0.0, {(row.invoker, row.boot) for row in rows})
+    joining.start(0.0)
+    result["take_in_ms"] = round(
+        timed(lambda: [joining.page_received(1.0, "s", rows[n : n + 200], True) for n in range(0, MODELS, 200)]), 1
     )
-    found["newcomer_mb"] = round(tracemalloc.get_traced_memory()[0] / 2**20, 1)
+    result["newcomer_mb"] = round(tracemalloc.get_traced_memory()[0] / 2**20, 1)
     tracemalloc.stop()
-    found["buckets"], found["dict_and_sort"] = store(lambda: ClaimStore(KEEP)), store(lambda: Plain(KEEP))
-    print(json.dumps(found, indent=1))
+    result["buckets"], result["dict_and_sort"] = (
+        store(lambda: ClaimStore(KEEP_MS)),
+        store(lambda: SortedDictStore(KEEP_MS)),
+    )
+    print(json.dumps(result, indent=1))
 
 
 if __name__ == "__main__":
