--- a/benchmarks/event_queue.py
+++ b/benchmarks/event_queue.py
@@ -25,7 +25,7 @@
 
 
 class Buckets:
-    """Events by millisecond; a bucket is sorted only when its millisecond is reached. A heap holds the bucket numbers."""
+    """Events by millisecond; a bucket is sorted when its millisecond is reached. A heap holds the bucket numbers."""
 
     def __init__(self):
         self.events: dict[int, list] = defaultdict(list)
--- a/benchmarks/failover.py
+++ b/benchmarks/failover.py
@@ -56,16 +56,16 @@
     )
     for (case, decider), runs in runs_by_case.items():
 
-        def values_of(name, runs=runs):
+        def column(name, runs=runs):
             return [run[name] for run in runs]
 
-        spread = stdev(values_of("service")) if len(runs) > 1 else 0.0
-        settled, back = ([value for value in values_of(name) if value is not None] for name in ("settled", "near"))
+        spread = stdev(column("service")) if len(runs) > 1 else 0.0
+        settled, back = ([value for value in column(name) if value is not None] for name in ("settled", "near"))
         print(
-            f"| {case} | {decider} | {mean(values_of('service')):.4f} ({spread:.4f}) | {mean(values_of('worst_10s')):.3f} | "
-            f"{mean(values_of('shed')):.3f} | {mean(values_of('crossed')):.3f} | {mean(values_of('plans')):.0f} | "
+            f"| {case} | {decider} | {mean(column('service')):.4f} ({spread:.4f}) | {mean(column('worst_10s')):.3f} | "
+            f"{mean(column('shed')):.3f} | {mean(column('crossed')):.3f} | {mean(column('plans')):.0f} | "
             f"{max(settled, default=-1):.0f} ({len(settled)}) | {max(back, default=-1):.0f} ({len(back)}) | "
-            f"{sum(bool(run['broken']) for run in runs)} broken | {mean(values_of('cpu_s')):.0f} s |",
+            f"{sum(bool(run['broken']) for run in runs)} broken | {mean(column('cpu_s')):.0f} s |",
             flush=True,
         )
         for line in sorted({line for run in runs for line in run["broken"]})[:4]:
--- a/benchmarks/growth.py
+++ b/benchmarks/growth.py
@@ -21,7 +21,7 @@
 from sprucespool.emulator.solo import Solo, SoloPlan, Troubled
 from sprucespool.policy import Controller
 
-BASE_INVOKERS, DURATION_MS, REPLACEMENT_STEPS = 200, 32_000.0, 40
+BASE_COUNT, DURATION_MS, REPLACEMENT_STEPS = 200, 32_000.0, 40
 
 
 @dataclass(frozen=True, slots=True)
@@ -101,14 +101,14 @@
     print("| invokers | CPU s (median, least, most) | state MB | forwards | invokers met | returned |")
     print("| --- | --- | --- | --- | --- | --- |")
     for factor in map(int, args.times.split(",")):
-        needs = [play(BASE_INVOKERS * factor, seed) for seed in range(args.runs)]
+        needs = [play(BASE_COUNT * factor, seed) for seed in range(args.runs)]
         cpu = sorted(need.cpu for need in needs)
         medians = [
             statistics.median(values)
             for values in zip(*((n.state_mb, n.forwards, n.invokers_met, n.returned) for n in needs), strict=True)
         ]
         print(
-            f"| {BASE_INVOKERS * factor} | {statistics.median(cpu):.2f} ({cpu[0]:.2f}, {cpu[-1]:.2f}) | {medians[0]:.1f} "
+            f"| {BASE_COUNT * factor} | {statistics.median(cpu):.2f} ({cpu[0]:.2f}, {cpu[-1]:.2f}) | {medians[0]:.1f} "
             f"| {medians[1]:.0f} | {medians[2]:.0f} | {medians[3]:.3f} |"
         )
 
--- a/benchmarks/learning.py
+++ b/benchmarks/learning.py
@@ -1,5 +1,5 @@
-"""Cost of sharing knowledge with a joining controller: memory, bytes and CPU per page for 10,000 models on 500 invokers.
-Also compares the bucketed claim store with a dict that is sorted at each expiry.
+"""Cost of sharing knowledge with a joining controller: memory, bytes and CPU per page, for 10,000 models on 500
+invokers. Also compares the bucketed claim store with a dict that is sorted at each expiry.
 
     python benchmarks/learning.py
 """
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -1,11 +1,11 @@
-"""The group of controllers in virtual time: finding, deaths, loss, a deaf member, partitions, cost.
+"""The group of controllers in virtual time: discovery, deaths, loss, a member that receives nothing, partitions, cost.
 
     python benchmarks/membership.py [--sizes 12,60,300,1000] [--seeds 3] [--against FOLDER]
     python benchmarks/membership.py --model            # states explored, depth and time
     python benchmarks/membership.py --sockets 16 --seeds 20   # 16 real processes, seconds from heal to equal views
 
-FOLDER holds an earlier form (`membership_old/` and `group_old.py`, its package and its virtual group): it is measured
-in the same run. Each line is one JSON object; times in s.
+FOLDER holds an earlier version (`membership_old/` and `group_old.py`, its package and its virtual group), which is
+measured in the same run. Each line is one JSON object; times are in seconds.
 """
 
 from __future__ import annotations
@@ -30,8 +30,8 @@
     return None if ms is None else round(ms / 1000, 1)
 
 
-def quantile(figures: list[float], part: float) -> float | None:
-    return round(sorted(figures)[min(len(figures) - 1, int(part * len(figures)))], 2) if figures else None
+def quantile(values: list[float], fraction: float) -> float | None:
+    return round(sorted(values)[min(len(values) - 1, int(fraction * len(values)))], 2) if values else None
 
 
 def sides_of(names: list[str]) -> list[set[str]]:
@@ -40,50 +40,53 @@
 
 def measure(size: int, seed: int, lossy: float) -> dict:
     virtual = Virtual(size, seed=seed)
-    found = virtual.run(60_000, virtual.alike)
+    found_after = virtual.run(60_000, virtual.alike)
     virtual.run(20_000)
-    said, begun, at = virtual.said, time.process_time(), virtual.now
+    sent_before, started_at, at = virtual.said, time.process_time(), virtual.now
     virtual.run(20_000)
-    span = (virtual.now - at) / 1000
-    steady = (virtual.said - said) / size / span
-    cpu = (time.process_time() - begun) / size / span
-    weighing = Virtual(size, seed=seed, settled=True)
-    weighing.load = lambda one: tuple(weighing.chance.uniform(1, 100) for _ in range(6))
-    weighing.run(60_000)
-    held = [sum(bool(found.row.figures) for found in one.table.present.values()) for one in weighing.members.values()]
-    told: list[float] = []
-    gone, at = f"c{size - 1}", virtual.now
-    virtual.watch = lambda member, event: told.append(virtual.now - at) if event.kind == "died" else None
-    virtual.kill(gone)
-    virtual.run(90_000, lambda: virtual.all_hold_gone(gone))
+    duration_s = (virtual.now - at) / 1000
+    steady = (virtual.said - sent_before) / size / duration_s
+    cpu = (time.process_time() - started_at) / size / duration_s
+    with_metrics = Virtual(size, seed=seed, settled=True)
+    with_metrics.load = lambda member: tuple(with_metrics.chance.uniform(1, 100) for _ in range(6))
+    with_metrics.run(60_000)
+    metrics_held = [
+        sum(bool(entry.row.figures) for entry in member.table.present.values())
+        for member in with_metrics.members.values()
+    ]
+    death_delays: list[float] = []
+    dead_name, at = f"c{size - 1}", virtual.now
+    virtual.watch = lambda member, event: death_delays.append(virtual.now - at) if event.kind == "died" else None
+    virtual.kill(dead_name)
+    virtual.run(90_000, lambda: virtual.all_hold_gone(dead_name))
     virtual.watch = lambda member, event: None
     sides = sides_of(sorted(virtual.members))
     virtual.links.partition("partition", sides)
-    apart = virtual.run(120_000, lambda: all(virtual.alike(side) for side in sides), 500)
+    split_after = virtual.run(120_000, lambda: all(virtual.alike(side) for side in sides), 500)
     virtual.links.heal("partition")
-    whole = virtual.run(240_000, virtual.alike)
-    quiet = Virtual(size, seed=seed, loss=0.05, settled=True)
+    merged_after = virtual.run(240_000, virtual.alike)
+    lossy_group = Virtual(size, seed=seed, loss=0.05, settled=True)
     kinds: Counter[str] = Counter()
-    quiet.watch = lambda member, event: kinds.update([event.kind])
-    quiet.run(lossy)
+    lossy_group.watch = lambda member, event: kinds.update([event.kind])
+    lossy_group.run(lossy)
     deaf = Virtual(size, seed=seed, settled=True)
     deaf.run(3_000)
-    turns: Counter[tuple[str, str]] = Counter()
-    deaf.watch = lambda member, event: turns.update(
+    change_counts: Counter[tuple[str, str]] = Counter()
+    deaf.watch = lambda member, event: change_counts.update(
         [(event.row.name if event.row else "", event.kind)] if member.name != "c5" else []
     )
     deaf.links.put("cut", None, {"c5"}, LinkState(cut="silent"), both=False)
     deaf.run(120_000)
-    changes = sum(count for (name, kind), count in turns.items()) / (size - 1)
+    changes = sum(count for (name, kind), count in change_counts.items()) / (size - 1)
     return {
         "form": "new",
         "members": size,
         "seed": seed,
-        "all_found": seconds(found),
-        "death_known_p50": seconds(quantile(told, 0.5)),
-        "death_known_p99": seconds(quantile(told, 0.99)),
-        "sides_settled": seconds(apart),
-        "whole_again": seconds(whole),
+        "all_found": seconds(found_after),
+        "death_known_p50": seconds(quantile(death_delays, 0.5)),
+        "death_known_p99": seconds(quantile(death_delays, 0.99)),
+        "sides_settled": seconds(split_after),
+        "whole_again": seconds(merged_after),
         "falsely_dead_at_5%": kinds["died"],
         "loss_for": seconds(lossy),
         "changes_of_a_deaf_member": round(changes, 2),
@@ -91,49 +94,49 @@
         "bytes_a_message": round(virtual.bytes / max(1, virtual.weighed)),
         "cpu_of_a_core_%": round(100 * cpu, 3),
         "with_figures": {
-            "bytes_a_message": round(weighing.bytes / max(1, weighing.weighed)),
-            "messages_a_second": round(weighing.said / size / 60, 2),
-            "held_of_others_at_least": min(held),
+            "bytes_a_message": round(with_metrics.bytes / max(1, with_metrics.weighed)),
+            "messages_a_second": round(with_metrics.said / size / 60, 2),
+            "held_of_others_at_least": min(metrics_held),
             "members": size - 1,
         },
     }
 
 
-def earlier(size: int, seed: int, lossy: float, folder: str) -> dict:
+def measure_earlier(size: int, seed: int, lossy: float, folder: str) -> dict:
     sys.path.insert(0, folder)
     old = importlib.import_module("group_old")
     state = importlib.import_module("membership_old").State
     group = old.Group(size, seed=seed)
-    found = group.run(120_000, group.all_know_all)
+    found_after = group.run(120_000, group.all_know_all)
     group.run(20_000)
-    said, begun, at = group.said, time.process_time(), group.now
+    sent_before, started_at, at = group.said, time.process_time(), group.now
     group.run(20_000)
-    span = (group.now - at) / 1000
-    steady, cpu = (group.said - said) / size / span, (time.process_time() - begun) / size / span
-    gone = f"c{size - 1}"
-    group.down.add(gone)
-    noticed = group.run(180_000, lambda: group.all_think(gone, state.DEAD))
-    names = sorted(one.me for one in group.up())
+    duration_s = (group.now - at) / 1000
+    steady, cpu = (group.said - sent_before) / size / duration_s, (time.process_time() - started_at) / size / duration_s
+    dead_name = f"c{size - 1}"
+    group.down.add(dead_name)
+    death_known_after = group.run(180_000, lambda: group.all_think(dead_name, state.DEAD))
+    names = sorted(member.me for member in group.up())
     sides = sides_of(names)
     group.side = {name: n for n, side in enumerate(sides) for name in side}
-    apart = group.run(
-        120_000, lambda: all(set(one.alive()) == sides[group.side[one.me]] - {one.me} for one in group.up())
+    split_after = group.run(
+        120_000, lambda: all(set(member.alive()) == sides[group.side[member.me]] - {member.me} for member in group.up())
     )
     group.side = {}
-    whole = group.run(300_000, group.all_know_all)
-    quiet = old.Group(size, seed=seed, loss=0.05)
-    quiet.run(30_000, quiet.all_know_all)
-    before = sum(one.tally.died for one in quiet.members.values())
-    quiet.run(lossy)
-    died = sum(one.tally.died for one in quiet.members.values()) - before
+    merged_after = group.run(300_000, group.all_know_all)
+    lossy_group = old.Group(size, seed=seed, loss=0.05)
+    lossy_group.run(30_000, lossy_group.all_know_all)
+    died_before = sum(member.tally.died for member in lossy_group.members.values())
+    lossy_group.run(lossy)
+    died = sum(member.tally.died for member in lossy_group.members.values()) - died_before
     return {
         "form": "earlier",
         "members": size,
         "seed": seed,
-        "all_found": seconds(found),
-        "death_known_to_all": seconds(noticed),
-        "sides_settled": seconds(apart),
-        "whole_again": seconds(whole),
+        "all_found": seconds(found_after),
+        "death_known_to_all": seconds(death_known_after),
+        "sides_settled": seconds(split_after),
+        "whole_again": seconds(merged_after),
         "falsely_dead_at_5%": died,
         "loss_for": seconds(lossy),
         "messages_a_second": round(steady, 2),
@@ -142,23 +145,23 @@
 
 
 def model() -> None:
-    for name, make, depth in (
+    for name, make_world, depth in (
         ("rules of merging and refuting, 3 members", of_kind(GroupWorld), 5),
         ("the same, 4 members", of_kind(GroupWorld, members=4), 4),
         ("shared parts, 2 numbers", of_kind(SharesWorld, of=2), 9),
         ("shared parts, 3 numbers", of_kind(SharesWorld, of=3), 6),
     ):
-        begun = time.process_time()
-        found = explore(make, depth)
+        started_at = time.process_time()
+        result = explore(make_world, depth)
         print(
             json.dumps(
                 {
                     "model": name,
-                    "depth": found.depth,
-                    "states": found.states,
-                    "whole": found.whole,
-                    "wrong": found.wrong,
-                    "cpu": round(time.process_time() - begun, 1),
+                    "depth": result.depth,
+                    "states": result.states,
+                    "whole": result.whole,
+                    "wrong": result.wrong,
+                    "cpu": round(time.process_time() - started_at, 1),
                 }
             ),
             flush=True,
@@ -172,19 +175,19 @@
     with tempfile.TemporaryDirectory() as folder:
         async with Rig(Path(folder), seed, period=1_000.0) as rig:
             names = await rig.start_all(count, regions=1, zones=3)
-            found = await rig.until(rig.alike)
+            found_after = await rig.until(rig.alike)
             sides = [names[n::3] for n in range(3)]
             rig.part(sides)
-            apart = await rig.until(lambda: all(rig.alike(side) for side in sides), 120)
+            split_after = await rig.until(lambda: all(rig.alike(side) for side in sides), 120)
             rig.heal()
             await asyncio.sleep(12)
             verdict = rig.verdict(Bounds())
             return {
                 "seed": seed,
-                "all_found": found,
-                "sides_settled": apart,
+                "all_found": found_after,
+                "sides_settled": split_after,
                 "settled_after_heal": verdict.settled,
-                "broken": [one.what for one in verdict.broken],
+                "broken": [broken.what for broken in verdict.broken],
             }
 
 
@@ -216,16 +219,16 @@
     parser.add_argument("--against")
     parser.add_argument("--model", action="store_true")
     parser.add_argument("--sockets", type=int)
-    told = parser.parse_args()
-    if told.model:
+    args = parser.parse_args()
+    if args.model:
         return model()
-    if told.sockets:
-        return sockets(told.sockets, told.seeds)
-    for size in map(int, told.sizes.split(",")):
-        for seed in range(1, told.seeds + 1):
-            print(json.dumps(measure(size, seed, 1000 * told.lossy)), flush=True)
-            if told.against:
-                print(json.dumps(earlier(size, seed, 1000 * told.lossy, told.against)), flush=True)
+    if args.sockets:
+        return sockets(args.sockets, args.seeds)
+    for size in map(int, args.sizes.split(",")):
+        for seed in range(1, args.seeds + 1):
+            print(json.dumps(measure(size, seed, 1000 * args.lossy)), flush=True)
+            if args.against:
+                print(json.dumps(measure_earlier(size, seed, 1000 * args.lossy, args.against)), flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/serving.py
+++ b/benchmarks/serving.py
@@ -1,9 +1,9 @@
-"""What a controller costs and carries, measured on this machine against echo invokers in processes of their own.
+"""Cost and capacity of a controller on this machine, measured with echo invokers in separate processes.
 
     python benchmarks/serving.py [--quick] [--json FILE]
 
-Prints CPU an inference (whole, and the shares of the HTTP/2 path and of the library), the added time at growing rates
-(open loop, timed from when a call ought to have left), and memory for 10,000 calls held and 1,000 idle connections.
+Prints CPU per inference (total, and the shares of the HTTP/2 path and of the library), the added latency at increasing
+rates (open loop, timed from each call's scheduled time), and memory for 10,000 held calls and 1,000 idle connections.
 """
 
 from __future__ import annotations
@@ -65,7 +65,7 @@
 
 
 async def load(port: int, rate: float, seconds: float, seed: int, held: int = 0) -> None:
-    """Open loop: each call is timed from when it ought to have left, so a stall counts for all that it holds up."""
+    """Open-loop load: each call is timed from its scheduled time, so a stall counts for every call that it delays."""
     loop = asyncio.get_running_loop()
     pool = Pool("127.0.0.1", port, Limits(streams=20_000), PoolLimits(connections=2, waiting=100_000), seed)
     times, codes, chance, open_calls = HdrHistogram(1, 60_000_000, 3), {}, random.Random(seed), 0
@@ -75,7 +75,7 @@
     ended = asyncio.Event()
 
     def send(n: int, due: float):
-        def heard(event):
+        def on_event(event):
             nonlocal open_calls
             if isinstance(event, Message):
                 call.consumed(event.size)
@@ -87,7 +87,7 @@
                 if not open_calls:
                     ended.set()
 
-        call = pool.call(names.MODEL_INFER, {}, 60_000.0 if held else 2_500.0, requests[n % MODELS], heard)
+        call = pool.call(names.MODEL_INFER, {}, 60_000.0 if held else 2_500.0, requests[n % MODELS], on_event)
 
     for n in range(count):
         due += 0.0001 if held else chance.expovariate(rate)
@@ -98,24 +98,26 @@
         ended.clear()
         send(n, due)
     await asyncio.wait_for(ended.wait(), 120)
-    marks = {f"p{mark}": times.get_value_at_percentile(mark) / 1000.0 for mark in (50, 99, 99.9)}
-    print(json.dumps({"codes": codes, "sent": count, **marks}), flush=True)
+    percentiles = {
+        f"p{percentile}": times.get_value_at_percentile(percentile) / 1000.0 for percentile in (50, 99, 99.9)
+    }
+    print(json.dumps({"codes": codes, "sent": count, **percentiles}), flush=True)
 
 
 async def idle(port: int, count: int) -> None:
     pools = [Pool("127.0.0.1", port, Limits(), PoolLimits(), n) for n in range(count)]
-    left = count
+    remaining = count
     done = asyncio.Event()
 
-    def heard(event):
-        nonlocal left
+    def on_event(event):
+        nonlocal remaining
         if isinstance(event, Answered):
-            left -= 1
-            if not left:
+            remaining -= 1
+            if not remaining:
                 done.set()
 
     for pool in pools:
-        pool.call(names.SERVER_LIVE, {}, 20_000.0, b"", heard)
+        pool.call(names.SERVER_LIVE, {}, 20_000.0, b"", on_event)
         await asyncio.sleep(0.001)
     await asyncio.wait_for(done.wait(), 60)
     print("open", flush=True)
@@ -129,18 +131,18 @@
     return subprocess.Popen([sys.executable, __file__, *map(str, args)], stdout=subprocess.PIPE, text=True)
 
 
-def cpu(pid: int) -> float:
+def cpu_seconds(pid: int) -> float:
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / TICKS
 
 
-def memory(pid: int) -> float:
+def memory_mb(pid: int) -> float:
     line = next(line for line in Path(f"/proc/{pid}/status").read_text().splitlines() if line.startswith("VmRSS"))
     return int(line.split()[1]) / 1024
 
 
 class Setup:
-    """Echo invokers and a controller on them."""
+    """Echo invokers and a controller in front of them."""
 
     def __init__(self, folder: Path, hold: float = 0.0, record: bool = False):
         self.echoes = [child("echo", hold) for _ in range(INVOKERS)]
@@ -166,29 +168,32 @@
 
     def close(self) -> dict:
         self.controller.terminate()
-        said = self.controller.stdout.read()
+        output = self.controller.stdout.read()
         self.controller.wait(20)
         for one in self.echoes:
             one.kill()
             one.wait()
-        return json.loads(said.partition("stopped ")[2] or "{}")
+        return json.loads(output.partition("stopped ")[2] or "{}")
 
 
 def run_load(port: int, rate: float, seconds: float, clients: int = 2) -> dict:
-    found = [child("load", port, rate / clients, seconds, n + 1) for n in range(clients)]
-    told = [json.loads(one.communicate(timeout=180)[0]) for one in found]
+    clients_started = [child("load", port, rate / clients, seconds, n + 1) for n in range(clients)]
+    results = [json.loads(one.communicate(timeout=180)[0]) for one in clients_started]
     codes: dict[str, int] = {}
-    for one in told:
+    for one in results:
         for code, count in one["codes"].items():
             codes[code] = codes.get(code, 0) + count
-    return {"codes": codes, **{mark: max(one[mark] for one in told) for mark in ("p50", "p99", "p99.9")}}
+    return {
+        "codes": codes,
+        **{percentile: max(one[percentile] for one in results) for percentile in ("p50", "p99", "p99.9")},
+    }
 
 
 def link_cost(calls: int = 3000) -> float:
-    """Microseconds of CPU for the HTTP/2 path of one inference through a controller: a call taken and a call made."""
+    """Microseconds of CPU for the HTTP/2 path of one inference through a controller: one call received and one made."""
     client, server = ClientLink(Limits()), ServerLink(Limits())
     body, answer = request(0), bytes(160)
-    begun = time.process_time()
+    started_at = time.process_time()
     for _ in range(calls):
         number = client.call(names.MODEL_INFER, "h", {}, 2500.0)
         client.send(number, body)
@@ -199,38 +204,38 @@
         server.finish(number, Status.OK, "", {names.FOUND: "warm"})
         client.receive(server.outgoing()[0], 0.0)
         client.consumed(number, len(answer) + 5)
-    return (time.process_time() - begun) / calls * 1e6
+    return (time.process_time() - started_at) / calls * 1e6
 
 
 def library_cost(record: Path) -> float:
-    """Microseconds of CPU an inference in the library and the module alone, from a record of the very same day."""
+    """Microseconds of CPU per inference in the library and the module alone, from a record of the same load."""
     data = record.read_bytes()
-    begun = time.process_time()
+    started_at = time.process_time()
     gateway: Gateway = replay(io.BytesIO(data), lambda effect: None)
-    return (time.process_time() - begun) / max(1, gateway.counts.taken) * 1e6
+    return (time.process_time() - started_at) / max(1, gateway.counts.taken) * 1e6
 
 
 def measure(quick: bool) -> dict:
-    found: dict = {"machine": f"{os.cpu_count()} cores, Python {sys.version.split()[0]}"}
+    results: dict = {"machine": f"{os.cpu_count()} cores, Python {sys.version.split()[0]}"}
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         setup = Setup(folder, record=True)
         seconds = 4 if quick else 10
         run_load(setup.port, 200, 2)
-        before = cpu(setup.controller.pid)
+        before = cpu_seconds(setup.controller.pid)
         run_load(setup.port, 500, seconds)
-        found["cpu_us_an_inference_at_500"] = (cpu(setup.controller.pid) - before) / (500 * seconds) * 1e6
+        results["cpu_us_an_inference_at_500"] = (cpu_seconds(setup.controller.pid) - before) / (500 * seconds) * 1e6
         setup.close()
-        found["cpu_us_http2_path"] = link_cost()
-        found["cpu_us_library_and_module"] = library_cost(setup.record)
+        results["cpu_us_http2_path"] = link_cost()
+        results["cpu_us_library_and_module"] = library_cost(setup.record)
         setup = Setup(folder)
         run_load(setup.port, 200, 2)
         steps = []
         for rate in (500, 1500) if quick else (250, 500, 1000, 1500, 2000, 2500, 3000, 3500):
             direct = run_load(setup.ports[0], rate, seconds / 2)
-            before = cpu(setup.controller.pid)
+            before = cpu_seconds(setup.controller.pid)
             through = run_load(setup.port, rate, seconds)
-            busy = (cpu(setup.controller.pid) - before) / seconds
+            busy = (cpu_seconds(setup.controller.pid) - before) / seconds
             served = through["codes"].get("0", 0) / (rate * seconds)
             steps.append(
                 {
@@ -238,32 +243,35 @@
                     "returned": round(served, 4),
                     "busy": round(busy, 2),
                     "codes": through["codes"],
-                    **{mark: round(through[mark] - direct[mark], 2) for mark in ("p50", "p99", "p99.9")},
+                    **{
+                        percentile: round(through[percentile] - direct[percentile], 2)
+                        for percentile in ("p50", "p99", "p99.9")
+                    },
                 }
             )
             print(steps[-1], file=sys.stderr, flush=True)
-        found["steps"] = steps
-        found["most_a_second"] = max(
+        results["steps"] = steps
+        results["most_a_second"] = max(
             (step["rate"] for step in steps if step["returned"] >= 0.999 and step["p99"] <= 100), default=0
         )
         setup.close()
         setup = Setup(folder)
-        before = memory(setup.controller.pid)
+        before = memory_mb(setup.controller.pid)
         conns = child("idle", setup.port, 1000)
         conns.stdout.readline()
-        found["mb_1000_idle_connections"] = memory(setup.controller.pid) - before
+        results["mb_1000_idle_connections"] = memory_mb(setup.controller.pid) - before
         conns.wait()
         setup.close()
         setup = Setup(folder, hold=6.0)
-        before, most = memory(setup.controller.pid), 0.0
+        before, peak_mb = memory_mb(setup.controller.pid), 0.0
         holder = child("hold", setup.port, 10_000)
         while holder.poll() is None:
-            most = max(most, memory(setup.controller.pid))
+            peak_mb = max(peak_mb, memory_mb(setup.controller.pid))
             time.sleep(0.05)
-        found["hold"] = json.loads(holder.stdout.read())
-        found["mb_10000_held"] = most - before
-        found["counts_of_hold"] = {k: v for k, v in setup.close().items() if v}
-    return found
+        results["hold"] = json.loads(holder.stdout.read())
+        results["mb_10000_held"] = peak_mb - before
+        results["counts_of_hold"] = {k: v for k, v in setup.close().items() if v}
+    return results
 
 
 def main() -> None:
@@ -280,12 +288,12 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--quick", action="store_true")
     parser.add_argument("--json", type=Path)
-    asked = parser.parse_args()
-    found = measure(asked.quick)
-    text = json.dumps(found, indent=1)
+    args = parser.parse_args()
+    results = measure(args.quick)
+    text = json.dumps(results, indent=1)
     print(text)
-    if asked.json:
-        asked.json.write_text(text + "\n")
+    if args.json:
+        args.json.write_text(text + "\n")
 
 
 if __name__ == "__main__":
--- a/benchmarks/whole_controller.py
+++ b/benchmarks/whole_controller.py
@@ -1,10 +1,11 @@
-"""What a whole controller process needs as the fleet grows and its own traffic stays the same, on loopback.
+"""Resources of a whole controller process as the fleet grows at constant traffic of its own, on loopback.
 
     python benchmarks/whole_controller.py [--runs 3] [--times 1,4,16] [--lasts 20]
 
-One controller of the platform as a process, stand-ins for its invokers, clients and command channel in this one: 15
-requests a second of 400 models at 200 invokers times each factor; within the time a third of them is replaced in steps,
-told as changes. Each figure is held against the operators' bound, as a multiple of the same run's usual size.
+Runs one controller of the platform as a process; its invokers, clients and command channel are stand-ins in this
+process. Sends 15 requests a second of 400 models with 200 invokers times each factor. During the run a third of them is
+replaced in steps, announced as changes. Each metric is checked against the operators' bound, which is a multiple of its
+value at the base size in the same run.
 """
 
 from __future__ import annotations
@@ -29,15 +30,15 @@
 from platform_scene import entry, event, hit, lines_of  # noqa: E402
 from platform_world import SETTINGS, configuration, request_frame  # noqa: E402
 
-USUAL, RATE, MODELS, STEPS = 200, 15.0, 400, 20
+BASE_INVOKERS, RATE_PER_SECOND, MODELS, REPLACEMENT_STEPS = 200, 15.0, 400, 20
 ANSWER, RETURNED = 17, 0
-COMMENT_EVERY = 0.5
-TICKS = os.sysconf("SC_CLK_TCK")
+COMMENT_INTERVAL_S = 0.5
+CLOCK_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 
 
 @dataclass(frozen=True, slots=True)
 class Need:
-    """What the process needed: seconds, MB, bytes of lists while changes are told."""
+    """The resources that the process used: seconds, MB, and bytes of lists while changes are announced."""
 
     cpu: float
     memory: float
@@ -47,19 +48,19 @@
     served: float
 
 
-NAMES = [one.name for one in fields(Need)]
+COLUMNS = [one.name for one in fields(Need)]
 
 
 @dataclass(frozen=True, slots=True)
 class Bound:
-    """So many times the usual size's figure, and so much more, at once and for each thousand invokers."""
+    """`times` the value at the base size, plus `plus`, plus `a_thousand` for each thousand invokers."""
 
     times: float
     plus: float = 0.0
     a_thousand: float = 0.0
 
-    def most(self, usual: float, invokers: int) -> float:
-        return usual * self.times + self.plus + self.a_thousand * invokers / 1000.0
+    def limit(self, base_value: float, invokers: int) -> float:
+        return base_value * self.times + self.plus + self.a_thousand * invokers / 1000.0
 
 
 BOUNDS = {
@@ -69,11 +70,11 @@
     "connections": Bound(2.5, 40.0),
     "list_bytes": Bound(2.0, 64_000.0, 500_000.0),
 }
-LEAST_SERVED = 0.85
+MIN_SERVED = 0.85
 
 
 class Invokers:
-    """Listening sockets of many invokers; each run is answered at once, the first of a model after a load's time."""
+    """Listening sockets of many invokers. Each run is answered at once, the first of a model after a load's time."""
 
     def __init__(self) -> None:
         self.connections = 0
@@ -89,9 +90,9 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
         try:
-            async for words in lines_of(reader):
-                if words[0] != "drop":
-                    asyncio.get_running_loop().call_later(0.03, writer.write, hit(words[1]))
+            async for tokens in lines_of(reader):
+                if tokens[0] != "drop":
+                    asyncio.get_running_loop().call_later(0.03, writer.write, hit(tokens[1]))
         except (ConnectionError, asyncio.IncompleteReadError):
             pass
         finally:
@@ -103,7 +104,7 @@
 
 
 class Channel:
-    """The command channel: tells what it is given to the watch that stands."""
+    """The command channel; sends data to the most recent watch."""
 
     def __init__(self) -> None:
         self.writers: list[asyncio.StreamWriter] = []
@@ -120,25 +121,25 @@
             self.writers.append(writer)
             while not writer.is_closing():
                 writer.write(b": here\n\n")
-                await asyncio.sleep(COMMENT_EVERY)
+                await asyncio.sleep(COMMENT_INTERVAL_S)
         except (ConnectionError, asyncio.IncompleteReadError):
             pass
 
     async def close(self) -> None:
-        """Wait for the watches to see it."""
+        """Closes the channel and waits until the watches notice it."""
         self.server.close()
         for writer in self.writers:
             writer.close()
-        await asyncio.sleep(COMMENT_EVERY + 0.1)
+        await asyncio.sleep(COMMENT_INTERVAL_S + 0.1)
 
-    def tell(self, data: bytes) -> None:
+    def send(self, data: bytes) -> None:
         self.written += len(data)
         self.writers[-1].write(data)
 
 
 def cpu_seconds(pid: int) -> float:
-    words = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(words[11]) + int(words[12])) / TICKS
+    tokens = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
+    return (int(tokens[11]) + int(tokens[12])) / CLOCK_TICKS_PER_SECOND
 
 
 def peak_mb(pid: int) -> float:
@@ -147,70 +148,70 @@
 
 
 class Descriptors:
-    """The most descriptors that a process was seen to have open."""
+    """The maximum number of open descriptors observed in a process."""
 
     def __init__(self, pid: int):
-        self.folder, self.most = f"/proc/{pid}/fd", 0
+        self.folder, self.max_open = f"/proc/{pid}/fd", 0
 
     async def watch(self) -> None:
-        """Look ten times a second."""
+        """Checks ten times a second."""
         while True:
-            self.most = max(self.most, len(os.listdir(self.folder)))
+            self.max_open = max(self.max_open, len(os.listdir(self.folder)))
             await asyncio.sleep(0.1)
 
 
 def _free_port() -> int:
-    with socket.socket() as one:
-        one.bind(("127.0.0.1", 0))
-        return one.getsockname()[1]
+    with socket.socket() as probe:
+        probe.bind(("127.0.0.1", 0))
+        return probe.getsockname()[1]
 
 
 async def _clients(port: int, lasts: float, chance: random.Random) -> float:
-    """Sends the traffic; gives the share returned."""
+    """Sends the traffic; returns the share of requests that were answered."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    until, number, returned = time.monotonic() + lasts, 0, 0
+    end, number, returned = time.monotonic() + lasts, 0, 0
 
-    async def hear() -> None:
+    async def receive() -> None:
         nonlocal returned
         while True:
             size = int.from_bytes(await reader.readexactly(4), "big")
             data = await reader.readexactly(size)
             returned += data[0] == ANSWER and data[5] == RETURNED
 
-    hearing = asyncio.ensure_future(hear())
-    while time.monotonic() < until:
-        await asyncio.sleep(chance.expovariate(RATE))
+    receiving = asyncio.ensure_future(receive())
+    while time.monotonic() < end:
+        await asyncio.sleep(chance.expovariate(RATE_PER_SECOND))
         number += 1
-        # A few favourites, many rare ones.
+        # A few frequent models, many rare ones.
         model = int(MODELS * chance.random() ** 3)
         writer.write(request_frame(number, id=f"{number:016x}", key=f"{model:016x}"))
     await asyncio.sleep(2.0)
-    hearing.cancel()
+    receiving.cancel()
     writer.close()
     return returned / number
 
 
 async def _changes(invokers: Invokers, channel: Channel, count: int, lasts: float) -> None:
-    """A third of the invokers is replaced, in steps over the time."""
+    """Replaces a third of the invokers in steps over the run."""
     names = [f"s-{number}" for number in range(count // 3)]
-    last = 1
-    for step in range(STEPS):
-        await asyncio.sleep(0.9 * lasts / STEPS)
-        part = names[step * len(names) // STEPS : (step + 1) * len(names) // STEPS]
+    cursor = 1
+    for step in range(REPLACEMENT_STEPS):
+        await asyncio.sleep(0.9 * lasts / REPLACEMENT_STEPS)
+        batch = names[step * len(names) // REPLACEMENT_STEPS : (step + 1) * len(names) // REPLACEMENT_STEPS]
         for state in ("draining", "removed"):
-            last += 1
-            channel.tell(event(last, *[(name, invokers.ports[name], state) for name in part]))
-        last += 1
+            cursor += 1
+            channel.send(event(cursor, *[(name, invokers.ports[name], state) for name in batch]))
+        cursor += 1
         born = int(time.time() * 1000.0)
-        channel.tell(event(last, *[await invokers.add(f"{name}-new") for name in part], born=born))
+        channel.send(event(cursor, *[await invokers.add(f"{name}-new") for name in batch], born=born))
 
 
 async def play(count: int, lasts: float, seed: int) -> Need:
-    """One day of one process."""
+    """One run of one process."""
     invokers, channel = Invokers(), Channel()
     hosts = [await invokers.add(f"s-{number}") for number in range(count)]
     port = _free_port()
-    told = configuration(
+    settings = configuration(
         listen=f"127.0.0.1:{port}",
         channel=f"127.0.0.1:{await channel.start()}",
         known={"cursor": 1, "cmds": [entry(1, *hosts, whole=True)]},
@@ -218,7 +219,7 @@
     )
     with tempfile.TemporaryDirectory() as folder:
         file = Path(folder) / "configuration.json"
-        file.write_text(json.dumps(told))
+        file.write_text(json.dumps(settings))
         process = subprocess.Popen(
             [sys.executable, "-m", "sprucespool.node"],
             env={**os.environ, "RELAY_CONFIG": str(file), "SPRUCESPOOL_LOG": "info"},
@@ -234,7 +235,9 @@
             await changes
             watching.cancel()
             pid = process.pid
-            need = Need(cpu_seconds(pid), peak_mb(pid), descriptors.most, invokers.connections, channel.written, served)
+            need = Need(
+                cpu_seconds(pid), peak_mb(pid), descriptors.max_open, invokers.connections, channel.written, served
+            )
         finally:
             process.send_signal(signal.SIGTERM)
             await asyncio.to_thread(process.wait, 20)
@@ -243,10 +246,10 @@
     return need
 
 
-def _within(name: str, found: float, usual: float, invokers: int) -> bool:
+def _within(name: str, value: float, base_value: float, invokers: int) -> bool:
     if name == "served":
-        return found >= LEAST_SERVED * usual
-    return found <= BOUNDS[name].most(usual, invokers)
+        return value >= MIN_SERVED * base_value
+    return value <= BOUNDS[name].limit(base_value, invokers)
 
 
 def main() -> None:
@@ -254,20 +257,20 @@
     parser.add_argument("--runs", type=int, default=3)
     parser.add_argument("--times", default="1,4,16")
     parser.add_argument("--lasts", type=float, default=20.0)
-    told = parser.parse_args()
+    args = parser.parse_args()
     print("Each figure: median (least, most); ! beyond its bound.")
-    print("| invokers | " + " | ".join(NAMES) + " |")
-    print("| --- " * (len(NAMES) + 1) + "|")
-    usual: dict[str, float] = {}
-    for factor in map(int, told.times.split(",")):
-        needs = [asyncio.run(play(USUAL * factor, told.lasts, seed)) for seed in range(told.runs)]
+    print("| invokers | " + " | ".join(COLUMNS) + " |")
+    print("| --- " * (len(COLUMNS) + 1) + "|")
+    base_values: dict[str, float] = {}
+    for factor in map(int, args.times.split(",")):
+        needs = [asyncio.run(play(BASE_INVOKERS * factor, args.lasts, seed)) for seed in range(args.runs)]
         cells = []
-        for name in NAMES:
-            figures = sorted(float(getattr(need, name)) for need in needs)
-            middle = statistics.median(figures)
-            mark = "" if _within(name, middle, usual.setdefault(name, middle), USUAL * factor) else " !"
-            cells.append(f"{middle:.6g} ({figures[0]:.6g}, {figures[-1]:.6g}){mark}")
-        print(f"| {USUAL * factor} | " + " | ".join(cells) + " |", flush=True)
+        for name in COLUMNS:
+            values = sorted(float(getattr(need, name)) for need in needs)
+            median = statistics.median(values)
+            mark = "" if _within(name, median, base_values.setdefault(name, median), BASE_INVOKERS * factor) else " !"
+            cells.append(f"{median:.6g} ({values[0]:.6g}, {values[-1]:.6g}){mark}")
+        print(f"| {BASE_INVOKERS * factor} | " + " | ".join(cells) + " |", flush=True)
 
 
 if __name__ == "__main__":
