--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -22,7 +22,7 @@
 
 from sprucespool.emulator.cases import CASES, play
 from sprucespool.emulator.fleet import FleetWorld
-from sprucespool.fleet import Listing, Opinion, OpinionLimits, Record, View, Weighing, judged
+from sprucespool.fleet import IncrementalAssessment, Listing, Opinion, OpinionLimits, Record, View, assess
 
 
 def _case(job: tuple[str, int, int, int, bool]) -> dict:
@@ -83,15 +83,15 @@
         plain = list(view.records.values())
         started_at = time.process_time()
         for _ in range(100):
-            judged(1.0, plain, "z0", set(), limits)
+            assess(1.0, plain, "z0", set(), limits)
             for record in plain:
                 any(1.0 - opinion.at > 15_000.0 for opinion in record.opinions.values())
         scan_s = time.process_time() - started_at
-        weighing = Weighing(limits)
-        weighing.look(1.0, view, "z0", lambda process: False, None)
+        assessment = IncrementalAssessment(limits)
+        assessment.update(1.0, view, "z0", lambda process: False, None)
         started_at = time.process_time()
         for n in range(100):
-            weighing.look(1.0, view, "z0", lambda process: False, [(f"w{n % max(1, boxes // 20)}", "1")])
+            assessment.update(1.0, view, "z0", lambda process: False, [(f"w{n % max(1, boxes // 20)}", "1")])
             view.sweep(1.0)
         indexed_s = time.process_time() - started_at
         print(
--- a/sprucespool/lab/world.py
+++ b/sprucespool/lab/world.py
@@ -22,7 +22,7 @@
 from sprucespool.emulator.library import Fetch, Library, LibraryFacts
 from sprucespool.emulator.plans import Habits, PlanWorld
 from sprucespool.faults import LinkState
-from sprucespool.fleet import Doubt, Place, Told
+from sprucespool.fleet import InvokerState, RosterRow, Suspicion
 from sprucespool.fleet.gateway_inputs import gateway_inputs
 from sprucespool.gateway import Decider, Gateway
 from sprucespool.gateway import messages as ms
@@ -168,7 +168,7 @@
         self.library_due = math.inf
         self.last_publish_at = 0.0
         # Time, version and rows of each state of the roster, for the trouble that restores an old one.
-        self.roster_history: list[tuple[float, int, dict[str, Told]]] = []
+        self.roster_history: list[tuple[float, int, dict[str, RosterRow]]] = []
         self.views_kept = day.group is not None and day.group.view
         self.bad_links = BadLinks()
         fleet, failover = day.fleet, day.failover
@@ -302,7 +302,7 @@
         inputs, frontend.inputs = frontend.inputs, []
         frontend.gateway.take(self._time(member), inputs)
 
-    def _learned(self, member: Group, places: list[Place], doubts: list[Doubt]):
+    def _learned(self, member: Group, places: list[InvokerState], doubts: list[Suspicion]):
         if not self.views_kept:
             return
         for gateway_input in gateway_inputs(places, doubts, self.fleets[member].version, self._time(member)):
@@ -310,10 +310,10 @@
 
     # The roster
 
-    def _row(self, box: Box, gone: bool = False) -> Told:
+    def _row(self, box: Box, gone: bool = False) -> RosterRow:
         row = super()._row(box, gone)
         slot = self.plan.slots[int(box.name[1:])]
-        return Told(
+        return RosterRow(
             row.process, row.listed, gone, box.zone, slot.machines.kind, slot.cell, float(slot.machines.cores), row.age
         )
 
@@ -324,11 +324,11 @@
         self.last_publish_at = due = max(due, self.last_publish_at + 0.01)
         self._later(due - self.now, lambda: self._published(box, row))
 
-    def _published(self, box: Box, row: Told):
+    def _published(self, box: Box, row: RosterRow):
         super()._published(box, row)
         self.roster_history.append((self.now, self.version, dict(self.rows)))
 
-    def _tell(self, member: Group, whole: bool, version: int, rows: list[Told], source: str = "roster"):
+    def _tell(self, member: Group, whole: bool, version: int, rows: list[RosterRow], source: str = "roster"):
         frontend = self.frontends.get(member)
         if frontend is None or not self._reaches(member):
             return
@@ -498,7 +498,7 @@
         request = frontend.requests.get(effect.call)
         if request is None:
             return self._queue_input(member, ms.ForwardEnded(effect.forward, it.Outcome.NOT_SENT.value))
-        place = self.fleets[member].told.get(effect.invoker)
+        place = self.fleets[member].reported.get(effect.invoker)
         frontend.pending_forwards[effect.forward] = _PendingForward(
             effect.invoker, request.plan.group, place.zone if place else "", self.now, self.now + effect.time_out
         )
