--- a/sprucespool/gateway/core.py
+++ b/sprucespool/gateway/core.py
@@ -210,9 +210,7 @@
         for pending in late:
             if not pending.finished:
                 self.counts.overdue += 1
-                self.port(
-                    ms.Note("the module gave no answer before the ttl ran out", fault=True, call=pending.inference.name)
-                )
+                self.port(ms.Note("no answer of the module in time", fault=True, call=pending.inference.name))
                 self._answer_failed(now, pending)
                 events.append(it.Departed(pending.inference))
 
@@ -463,7 +461,7 @@
         inference, name = action.inference, action.inference.name
         pending = self.calls.get(name)
         if pending is None or pending.inference is not inference or pending.finished:
-            self._refuse_action("a forward for an inference that is already finished", name)
+            self._refuse_action("a forward for an inference that is over", name)
             # The module's own bookkeeping needs an end for each forward.
             events.append(it.Ended(action, it.Outcome.NOT_SENT, True, 0.0, it.Found.UNTOLD, False, None, {}))
             return
@@ -489,14 +487,14 @@
             return
         sent = self.sent[number]
         if sent.pending.streaming == number:
-            return self._refuse_action("a call-off of a stream that has already begun", sent.pending.inference.name)
+            return self._refuse_action("a call-off of a stream that has begun", sent.pending.inference.name)
         self._recall(number, sent)
         self._end_forward(now, number, it.Outcome.CALLED_OFF, events)
 
     def _unfinished(self, inference: it.Inference, what: str) -> _PendingCall | None:
         pending = self.calls.get(inference.name)
         if pending is None or pending.inference is not inference or pending.finished:
-            self._refuse_action(f"{what} for an inference that is already finished", inference.name)
+            self._refuse_action(f"{what} for an inference that is over", inference.name)
             return None
         return pending
 
--- a/sprucespool/grpc/client.py
+++ b/sprucespool/grpc/client.py
@@ -87,8 +87,8 @@
             status = Status(int(status_text)) if known else Status.UNKNOWN
         else:
             status = STATUS_FROM_HTTP.get(stream.status, Status.UNKNOWN)
-            message = message or f"the stream ended without grpc-status, HTTP status {stream.status or 'none'}"
+            message = message or f"an end without grpc-status, HTTP status {stream.status or 'none'}"
         if stream.partial:
-            status, message = Status.INTERNAL, "the last message is truncated"
+            status, message = Status.INTERNAL, "a message that is cut off"
         self._close(number)
         events.append(Answered(number, status, message, headers, stream.messages))
--- a/sprucespool/grpc/link.py
+++ b/sprucespool/grpc/link.py
@@ -120,7 +120,7 @@
             elif (
                 kind in (RST_STREAM, SETTINGS, PING) or kind == DATA and not size and not buffered[at + 4] & 1
             ) and self._overhead_frames.add(now):
-                self._fail(Codes.ENHANCE_YOUR_CALM, "too many control or empty frames")
+                self._fail(Codes.ENHANCE_YOUR_CALM, "too many frames of no use")
             at = end
         self._feed(buffered[begin:at], events, now)
         self._unparsed = buffered[at:]
@@ -152,7 +152,7 @@
 
     def _on_go_away(self, body: bytes, events: list):
         if len(body) < 8:
-            self._fail(Codes.FRAME_SIZE_ERROR, "a GOAWAY of less than 8 bytes")
+            self._fail(Codes.FRAME_SIZE_ERROR, "a GOAWAY of under 8 bytes")
         last, code = int.from_bytes(body[:4], "big") & 0x7FFFFFFF, int.from_bytes(body[4:8], "big")
         self.peer_leaving = True
         events.append(GoingAway(code, body[8:208].decode("utf-8", "replace")))
@@ -182,7 +182,7 @@
             length = int.from_bytes(partial[at + 1 : at + 5], "big")
             if partial[at] or length > self.limits.message:
                 why = (
-                    "a compressed message without an agreed encoding"
+                    "a compressed message without an encoding agreed"
                     if partial[at]
                     else f"a message of {length} bytes, {self.limits.message} are allowed"
                 )
--- a/sprucespool/grpc/server.py
+++ b/sprucespool/grpc/server.py
@@ -71,7 +71,7 @@
             return
         if stream.partial:
             events.append(Reset(event.stream_id, int(Codes.CANCEL), False))
-            return self.refuse(event.stream_id, Status.INVALID_ARGUMENT, "the last message is truncated")
+            return self.refuse(event.stream_id, Status.INVALID_ARGUMENT, "a message that is cut off")
         events.append(HalfClosed(event.stream_id))
 
     def refuse(self, number: int, status: Status, message: str, trailers: Metadata | None = None):
--- a/sprucespool/judge/failover.py
+++ b/sprucespool/judge/failover.py
@@ -106,7 +106,7 @@
                 BrokenInvariant(
                     "d",
                     arrival.t,
-                    f"traffic bound to its region came from {arrival.by} in {arrival.zone} to {arrival.to}",
+                    f"what must stay in its region came from {arrival.by} in {arrival.zone} to {arrival.to}",
                 )
             )
     _check_plan_changes(sorted_views, bounds, verdict)
@@ -138,14 +138,10 @@
         if view.epoch == NONE:
             continue
         if plans.setdefault(view.epoch, view.plan) != view.plan:
-            verdict.broken.append(
-                BrokenInvariant("a", view.t, f"{view.by} reports another plan for epoch {view.epoch}")
-            )
+            verdict.broken.append(BrokenInvariant("a", view.t, f"{view.by} tells another plan of epoch {view.epoch}"))
         before = newest.get((view.by, view.start), NONE)
         if view.epoch < before:
-            verdict.broken.append(
-                BrokenInvariant("a", view.t, f"{view.by} went back from epoch {before} to {view.epoch}")
-            )
+            verdict.broken.append(BrokenInvariant("a", view.t, f"{view.by} went from epoch {before} to {view.epoch}"))
         newest[view.by, view.start] = view.epoch
     verdict.plans = len(plans)
 
@@ -212,7 +208,7 @@
             BrokenInvariant(
                 "c",
                 bounds.calm_until,
-                f"{verdict.calm_crossed:.1%} of the forwards left their zone without any fault",
+                f"{verdict.calm_crossed:.1%} of the forwards left their zone while nothing was wrong",
             )
         )
 
--- a/sprucespool/judge/fleet.py
+++ b/sprucespool/judge/fleet.py
@@ -142,7 +142,7 @@
             BrokenInvariant(
                 "a",
                 end,
-                f"{len(live)} controllers held the same fleet view {when}, "
+                f"{len(live)} controllers held the same of the fleet {when}, "
                 f"{len(set(digests.values()))} digests at the end",
             )
         )
@@ -221,7 +221,9 @@
                 ):
                     verdict.broken.append(
                         BrokenInvariant(
-                            "c", view.t, f"{view.by} holds {address} {boot} {status}, already replaced by {report.boot}"
+                            "c",
+                            view.t,
+                            f"{view.by} holds {address} {boot} {status}, in whose place {report.boot} stands",
                         )
                     )
                     break
--- a/sprucespool/judge/group.py
+++ b/sprucespool/judge/group.py
@@ -201,7 +201,7 @@
             BrokenInvariant(
                 "a",
                 end,
-                f"{len(live)} live members reported the same digest {when}, "
+                f"{len(live)} live members showed the same digest {when}, "
                 f"{len(set(digests.values()))} digests at the end",
             )
         )
@@ -226,7 +226,7 @@
                 and max(lifetime.begun, viewer.begun) <= view.t - grace
                 and history.reach(view.by, row.name, view.t - grace, view.t)
             ):
-                violations.append(BrokenInvariant("b", view.t, f"{view.by} holds {row.name} dead although it runs"))
+                violations.append(BrokenInvariant("b", view.t, f"{view.by} holds {row.name} dead, which runs"))
             ended_at = min(lifetime.ended, lifetime.left)
             if (
                 row.state in (ALIVE, SUSPECT)
@@ -243,9 +243,7 @@
                 and row.state in (SUSPECT, DEAD)
                 and history.reach(view.by, row.name, lifetime.left - 2_000.0, view.t)
             ):
-                violations.append(
-                    BrokenInvariant("e", view.t, f"{view.by} holds {row.name} {row.state} although it left")
-                )
+                violations.append(BrokenInvariant("e", view.t, f"{view.by} holds {row.name} {row.state}, which left"))
 
 
 def _check_versions(history: History, violations: list[BrokenInvariant]):
@@ -281,7 +279,5 @@
     for t, share in sorted(steps):
         total += share
         if total > 1.0 + 1e-6:
-            violations.append(
-                BrokenInvariant("f", t, f"the shares held at the same time add up to {total:.3f} of the whole")
-            )
+            violations.append(BrokenInvariant("f", t, f"the parts held at once come to {total:.3f} of the whole"))
             return
--- a/sprucespool/judge/rules.py
+++ b/sprucespool/judge/rules.py
@@ -180,7 +180,7 @@
                         1,
                         answered_at,
                         f"{sent.id}: answered {late:.0f} ms after its ttl"
-                        + (f", the machine delayed it up to {delay:.0f} ms" if delay else ""),
+                        + (f", the machine kept it {delay:.0f} ms" if delay else ""),
                     )
                 )
         if (
@@ -253,9 +253,7 @@
                         )
                     )
                 ):
-                    violations.append(
-                        BrokenRule(2, later.arrival.t, f"{client_try.sent.id}: two forwards in flight at once")
-                    )
+                    violations.append(BrokenRule(2, later.arrival.t, f"{client_try.sent.id}: two forwards out at once"))
                 if _known_not_run(earlier, later.arrival.t, 1.0):
                     continue
                 if group.effect == "non-retriable":
@@ -269,7 +267,7 @@
                 elif group.effect == "deduped":
                     if gap >= group.dedup_window + facts.tolerance:
                         violations.append(
-                            BrokenRule(2, later.arrival.t, f"{client_try.sent.id}: forwarded again after {gap:.0f} ms")
+                            BrokenRule(2, later.arrival.t, f"{client_try.sent.id}: again after {gap:.0f} ms")
                         )
                     in_scope = (
                         group.scope == "all"
@@ -278,9 +276,7 @@
                     )
                     if not in_scope:
                         violations.append(
-                            BrokenRule(
-                                2, later.arrival.t, f"{client_try.sent.id}: forwarded again outside its dedup scope"
-                            )
+                            BrokenRule(2, later.arrival.t, f"{client_try.sent.id}: again outside its group")
                         )
         for answer in client_try.answers:
             if answer.code != SHED or group.effect == "retriable":
@@ -369,7 +365,7 @@
                 BrokenRule(
                     4,
                     event.t,
-                    f"{event.invoker} was overloaded: {event.sent:.0f} ms of work sent, {event.allowed:.0f} allowed",
+                    f"{event.invoker} fell over: {event.sent:.0f} ms of work sent, {event.allowed:.0f} allowed",
                 )
             )
     for boot, sequence in arrivals.items():
--- a/sprucespool/wire/peek.py
+++ b/sprucespool/wire/peek.py
@@ -65,7 +65,7 @@
         else:
             raise MalformedRequest(f"expected a field, got wire type {kind} before byte {at}")
         if number == 0 or at > end:
-            raise MalformedRequest(f"a field is truncated or has no number before byte {min(at, end)}")
+            raise MalformedRequest(f"a field that is cut off or has no number before byte {min(at, end)}")
 
 
 def _text(data: bytes, begin: int, end: int) -> str:
@@ -119,7 +119,7 @@
                 if value is not None:
                     fields.parameters[name] = value
     except (IndexError, struct.error):
-        raise MalformedRequest("the message is truncated") from None
+        raise MalformedRequest("a message that is cut off") from None
     return fields
 
 
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -211,10 +211,10 @@
     block = Encoder().encode(GRPC)
     resets = b"".join(frame(1, 4, n, block) + frame(3, 0, n, b"\0\0\0\x08") for n in range(1, 1201, 2))
     assert "reset" in flood(ServerLink(Limits()), HELLO + resets)
-    assert "control or empty" in flood(ServerLink(Limits()), HELLO + frame(6, 0, 0, bytes(8)) * 3000)
-    assert "control or empty" in flood(ServerLink(Limits()), HELLO + frame(4, 0, 0) * 3000)
+    assert "no use" in flood(ServerLink(Limits()), HELLO + frame(6, 0, 0, bytes(8)) * 3000)
+    assert "no use" in flood(ServerLink(Limits()), HELLO + frame(4, 0, 0) * 3000)
     empty = HELLO + frame(1, 4, 1, block) + frame(0, 0, 1) * 3000
-    assert "control or empty" in flood(ServerLink(Limits()), empty)
+    assert "no use" in flood(ServerLink(Limits()), empty)
 
 
 def test_a_flood_of_headers_ends_the_connection():
