--- a/sprucespool/emulator/library.py
+++ b/sprucespool/emulator/library.py
@@ -18,7 +18,7 @@
 @dataclass(slots=True, eq=False)
 class Fetch:
     tag: object
-    left: float
+    remaining: float
 
 
 @dataclass(slots=True, eq=False)
@@ -27,7 +27,7 @@
 
     facts: LibraryFacts
     now: float = 0.0
-    slow: float = 1.0
+    slowdown: float = 1.0
     down: bool = False
     under_way: list[Fetch] = field(default_factory=list)
     fetched: int = 0
@@ -36,20 +36,20 @@
     def _pace(self) -> float:
         if self.down or not self.under_way:
             return 0.0
-        return min(1.0, self.facts.smooth / len(self.under_way)) / self.slow
+        return min(1.0, self.facts.smooth / len(self.under_way)) / self.slowdown
 
     def advance(self, now: float) -> list[Fetch]:
         """Fetches that are done by now. Call before any change."""
         done: list[Fetch] = []
         while self.under_way and self.now < now:
             pace = self._pace()
-            least = heapq.nsmallest(1, (fetch.left for fetch in self.under_way))[0]
+            least = heapq.nsmallest(1, (fetch.remaining for fetch in self.under_way))[0]
             span = min(now - self.now, least / pace if pace else math.inf)
             for fetch in self.under_way:
-                fetch.left -= span * pace
+                fetch.remaining -= span * pace
             self.now += span
-            over = [fetch for fetch in self.under_way if fetch.left <= 1e-6]
-            self.under_way = [fetch for fetch in self.under_way if fetch.left > 1e-6]
+            over = [fetch for fetch in self.under_way if fetch.remaining <= 1e-6]
+            self.under_way = [fetch for fetch in self.under_way if fetch.remaining > 1e-6]
             self.fetched += len(over)
             done += over
             if not pace:
@@ -65,10 +65,10 @@
         self.under_way.append(fetch)
         return True
 
-    def give_up(self, fetch: Fetch) -> None:
+    def cancel(self, fetch: Fetch) -> None:
         if fetch in self.under_way:
             self.under_way.remove(fetch)
 
     def next_due(self) -> float:
         pace = self._pace()
-        return self.now + min(fetch.left for fetch in self.under_way) / pace if pace else math.inf
+        return self.now + min(fetch.remaining for fetch in self.under_way) / pace if pace else math.inf
--- a/sprucespool/emulator/solo.py
+++ b/sprucespool/emulator/solo.py
@@ -243,7 +243,7 @@
             self.at(self.now + ONE_WAY, lambda: self._tell(ms.OrderEnded(effect.order, "unconnected")))
             return
         self.asks[effect.order] = place
-        place.worker.order(self.now, wk.Ask(effect.order, effect.model, effect.copies))
+        place.worker.order(self.now, wk.LoadOrder(effect.order, effect.model, effect.copies))
         self._after(place)
 
     # Workers
@@ -265,8 +265,8 @@
     def _after(self, place: _Place):
         """Carry out what the worker's last step left."""
         worker = place.worker
-        while worker.acts:
-            acts, worker.acts = worker.acts, []
+        while worker.actions:
+            acts, worker.actions = worker.actions, []
             for act in acts:
                 self._act(place, act)
         due = worker.next_due()
@@ -277,10 +277,10 @@
     def _look(self, place: _Place, worker: wk.Worker):
         if place.worker is worker and place.up:
             place.looked_for = float("inf")
-            worker.look(self.now)
+            worker.advance(self.now)
             self._after(place)
 
-    def _act(self, place: _Place, act: wk.Act):
+    def _act(self, place: _Place, act: wk.Action):
         if isinstance(act, wk.FetchWanted):
             done = self.library.advance(self.now)
             fetch = Fetch(_Fetching(place, place.worker, act.load), act.load.info.fetch)
@@ -289,12 +289,12 @@
             self._library_done(done)
             return
         if isinstance(act, wk.Settled):
-            number = act.ask.tag
+            number = act.order.tag
             if isinstance(number, int) and self.asks.pop(number, None) is not None:
-                outcome = "returned" if act.stands else "full"
-                self._back(place, ms.OrderEnded(number, outcome, act.standing))
+                outcome = "returned" if act.fulfilled else "full"
+                self._back(place, ms.OrderEnded(number, outcome, act.loaded_copies))
             return
-        if isinstance(act, wk.Fell):
+        if isinstance(act, wk.Overloaded):
             self._down(place)
             return
         number = act.job.tag
@@ -384,8 +384,8 @@
         elif trouble.what == "hang":
             place.hung_until = self.now + trouble.lasts
         elif trouble.what == "crawl":
-            place.worker.crawl = trouble.factor
-            self.at(self.now + trouble.lasts, lambda: setattr(place.worker, "crawl", 1.0))
+            place.worker.slowdown = trouble.factor
+            self.at(self.now + trouble.lasts, lambda: setattr(place.worker, "slowdown", 1.0))
 
     def _full_roster(self):
         self._tell(ms.Roster("replace", 3, [place.row for place in self.places if place.up]))
--- a/sprucespool/emulator/worker.py
+++ b/sprucespool/emulator/worker.py
@@ -1,7 +1,7 @@
-"""An invoker: copies of models in a memory budget, lanes, a queue, loads from a shared library, cold starts.
+"""Model of an invoker: model copies in a memory budget, lanes, a queue, loads from a shared library, cold starts.
 
-Each method takes the time (ms) and leaves what follows in `acts`; `next_due` says when to call `look`. Work is timed,
-not burnt.
+Each method takes the current time (ms) and appends the resulting actions to `actions`; `next_due` says when to call
+`advance`. Work only takes virtual time; no processor time is spent on it.
 """
 
 from __future__ import annotations
@@ -75,7 +75,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Ask:
+class LoadOrder:
     """An order: settled when `copies` stand, or when it is clear that they will not."""
 
     tag: object
@@ -83,7 +83,7 @@
     copies: int
 
 
-# Acts
+# Actions
 
 
 @dataclass(slots=True)
@@ -114,20 +114,20 @@
 
 @dataclass(slots=True)
 class Settled:
-    ask: Ask
-    stands: bool
-    standing: int
+    order: LoadOrder
+    fulfilled: bool
+    loaded_copies: int
 
 
 @dataclass(slots=True)
-class Fell:
+class Overloaded:
     """Pushed over while cold: it is down for good."""
 
     sent: float
     allowed: float
 
 
-Act = Finished | Refused | Missed | FetchWanted | Settled | Fell
+Action = Finished | Refused | Missed | FetchWanted | Settled | Overloaded
 
 
 @dataclass(slots=True)
@@ -146,67 +146,67 @@
 class Worker:
     facts: WorkerFacts
     catalog: dict[str, ModelInfo]
-    born: float
+    started_at: float
     # 0 for one that has run for long: it is warm.
     cold: bool = True
-    acts: list[Act] = field(default_factory=list)
+    actions: list[Action] = field(default_factory=list)
     copies: dict[str, list[Copy]] = field(default_factory=dict)
     loading: list[Load] = field(default_factory=list)
     queue: deque[Job] = field(default_factory=deque)
-    asks: list[Ask] = field(default_factory=list)
+    orders: list[LoadOrder] = field(default_factory=list)
     running: list[tuple[float, int, Job]] = field(default_factory=list)
     starting: list[tuple[float, int, Load]] = field(default_factory=list)
-    sent: deque[tuple[float, float]] = field(default_factory=deque)
-    seen: dict[str, float] = field(default_factory=dict)
+    recent_work: deque[tuple[float, float]] = field(default_factory=deque)
+    finished_keys: dict[str, float] = field(default_factory=dict)
     tally: Tally = field(default_factory=Tally)
     draining: bool = False
-    fallen: bool = False
-    crawl: float = 1.0
-    still_until: float = 0.0
-    number: int = 0
+    overloaded: bool = False
+    slowdown: float = 1.0
+    paused_until: float = 0.0
+    last_number: int = 0
 
     def share(self, now: float) -> float:
         """The part of its capacity that stands by now."""
         if not self.cold:
             return 1.0
-        grown = min(1.0, (now - self.born) / self.facts.warm_after)
+        grown = min(1.0, (now - self.started_at) / self.facts.warm_after)
         return self.facts.cold_share + (1 - self.facts.cold_share) * grown
 
     def used(self) -> float:
         standing = sum(copy.info.memory for copies in self.copies.values() for copy in copies)
         return standing + sum(load.info.memory for load in self.loading if load.state != "queued")
 
-    def _weigh(self, now: float, work: float):
+    def _record_sent_work(self, now: float, work: float):
         """Work sent, also what is then rejected, against what a cold one bears in a span."""
         facts = self.facts
-        if not self.cold or now - self.born > facts.warm_after or self.fallen:
+        if not self.cold or now - self.started_at > facts.warm_after or self.overloaded:
             return
-        self.sent.append((now, work))
-        while self.sent[0][0] < now - facts.fall_window:
-            self.sent.popleft()
-        total = sum(weight for _, weight in self.sent)
+        self.recent_work.append((now, work))
+        while self.recent_work[0][0] < now - facts.fall_window:
+            self.recent_work.popleft()
+        total = sum(weight for _, weight in self.recent_work)
         allowed = facts.fall_multiple * self.share(now) * facts.cores * facts.speed * facts.fall_window
         if total > allowed:
-            self.fallen = True
-            self.acts.append(Fell(total, allowed))
+            self.overloaded = True
+            self.actions.append(Overloaded(total, allowed))
 
     # What is asked of it
 
     def arrive(self, now: float, job: Job) -> None:
-        self._weigh(now, job.work)
+        self._record_sent_work(now, job.work)
         held = sum(other.model == job.model for _, _, other in self.running)
         job.same_model = held + sum(other.model == job.model for other in self.queue)
         info = self.catalog.get(job.model)
-        if self.fallen:
+        if self.overloaded:
             return
-        if job.key and self.seen.get(job.key, -math.inf) > now - self.facts.dedup_window:
+        if job.key and self.finished_keys.get(job.key, -math.inf) > now - self.facts.dedup_window:
             # Ran here a moment ago: answered without running again.
             self.tally.repeats_dropped += 1
-            self.acts.append(Finished(job))
+            self.actions.append(Finished(job))
             return
         if self.draining or len(self.queue) >= self.facts.queue or info is None:
             self.tally.refused += 1
-            self.acts.append(
+            self.actions.append(
                 Refused(job, "draining" if self.draining else "queue full" if info else "no such model in the library")
             )
             return
@@ -214,12 +214,12 @@
             waits = any(load.model == job.model for load in self.loading)
             if not waits and not self.facts.loads_on_miss:
                 self.tally.missed += 1
-                self.acts.append(Missed(job, False))
+                self.actions.append(Missed(job, False))
                 return
             job.found = "awaited-load" if waits else "began-load"
             if not waits and not self._begin_load(now, job.model, info):
                 self.tally.refused += 1
-                self.acts.append(Refused(job, "no room for a load"))
+                self.actions.append(Refused(job, "no room for a load"))
                 return
         self.queue.append(job)
         self._dispatch(now)
@@ -230,24 +230,24 @@
             self.queue.remove(job)
             job.state = "dropped"
 
-    def order(self, now: float, ask: Ask) -> None:
-        info = self.catalog.get(ask.model)
-        standing = len(self.copies.get(ask.model, []))
-        for copy in self.copies.get(ask.model, []):
+    def order(self, now: float, order: LoadOrder) -> None:
+        info = self.catalog.get(order.model)
+        standing = len(self.copies.get(order.model, []))
+        for copy in self.copies.get(order.model, []):
             copy.idle_since = max(copy.idle_since, now)
-        if ask.copies and (self.draining or info is None or self.fallen):
-            self.acts.append(Settled(ask, False, standing))
+        if order.copies and (self.draining or info is None or self.overloaded):
+            self.actions.append(Settled(order, False, standing))
             return
-        if standing >= ask.copies:
-            self.acts.append(Settled(ask, True, standing))
+        if standing >= order.copies:
+            self.actions.append(Settled(order, True, standing))
             return
-        coming = sum(load.model == ask.model for load in self.loading)
+        coming = sum(load.model == order.model for load in self.loading)
         assert info is not None
-        for _ in range(ask.copies - standing - coming):
-            if not self._begin_load(now, ask.model, info):
-                self.acts.append(Settled(ask, False, standing))
+        for _ in range(order.copies - standing - coming):
+            if not self._begin_load(now, order.model, info):
+                self.actions.append(Settled(order, False, standing))
                 return
-        self.asks.append(ask)
+        self.orders.append(order)
 
     def unload(self, now: float, model: str) -> int:
         """Idle copies of the model go; those at work stay. Gives how many went."""
@@ -263,9 +263,9 @@
             for copy in copies:
                 copy.idle_since = -math.inf
 
-    def stand_still(self, now: float, span: float) -> None:
+    def pause(self, now: float, span: float) -> None:
         """Nothing goes on for a while: all that runs or starts ends so much later."""
-        self.still_until = max(self.still_until, now + span)
+        self.paused_until = max(self.paused_until, now + span)
         self.running = [(end + span, n, job) for end, n, job in self.running]
         self.starting = [(end + span, n, load) for end, n, load in self.starting]
 
@@ -294,7 +294,7 @@
                 break
             load.state = "fetching"
             self.tally.loads += 1
-            self.acts.append(FetchWanted(load))
+            self.actions.append(FetchWanted(load))
 
     def _make_room(self, now: float, memory: float, model: str) -> bool:
         # A copy that somebody waits for is not idle: it would be loaded again at once.
@@ -324,8 +324,8 @@
             self._load_over(now, load, False)
         else:
             load.state = "starting"
-            self.number += 1
-            heapq.heappush(self.starting, (now + load.info.start * self.crawl, self.number, load))
+            self.last_number += 1
+            heapq.heappush(self.starting, (now + load.info.start * self.slowdown, self.last_number, load))
         self._start_loads(now)
 
     def _load_over(self, now: float, load: Load, stands: bool):
@@ -337,16 +337,16 @@
             for job in [job for job in self.queue if job.model == load.model]:
                 self.queue.remove(job)
                 self.tally.missed += 1
-                self.acts.append(Missed(job, True))
-        for ask in [ask for ask in self.asks if ask.model == load.model]:
-            if standing >= ask.copies or standing + coming < ask.copies:
-                self.asks.remove(ask)
-                self.acts.append(Settled(ask, standing >= ask.copies, standing))
+                self.actions.append(Missed(job, True))
+        for order in [order for order in self.orders if order.model == load.model]:
+            if standing >= order.copies or standing + coming < order.copies:
+                self.orders.remove(order)
+                self.actions.append(Settled(order, standing >= order.copies, standing))
 
     # Time
 
     def next_due(self) -> float:
-        """When to call `look` next; infinity if nothing is due."""
+        """When to call `advance` next; infinity if nothing is due."""
         due = min(self.running[0][0] if self.running else math.inf, self.starting[0][0] if self.starting else math.inf)
         # A copy that somebody waits for does not expire, so its time is nothing to come back for.
         wanted = {job.model for job in self.queue}
@@ -358,10 +358,10 @@
             if not copy.busy
         ]
         due = min(due, min(idle) + self.facts.keep_alive if idle else math.inf)
-        return max(due, self.still_until) if due < math.inf else due
+        return max(due, self.paused_until) if due < math.inf else due
 
-    def look(self, now: float) -> None:
-        if now < self.still_until:
+    def advance(self, now: float) -> None:
+        if now < self.paused_until:
             return
         while self.starting and self.starting[0][0] <= now:
             load = heapq.heappop(self.starting)[2]
@@ -375,10 +375,12 @@
             job.copy.idle_since = max(now, job.copy.idle_since) if job.copy.idle_since > -math.inf else -math.inf
             self.tally.ran += 1
             if job.key:
-                self.seen[job.key] = now
-                if len(self.seen) > 10_000:
-                    self.seen = {key: at for key, at in self.seen.items() if at > now - self.facts.dedup_window}
-            self.acts.append(Finished(job))
+                self.finished_keys[job.key] = now
+                if len(self.finished_keys) > 10_000:
+                    self.finished_keys = {
+                        key: at for key, at in self.finished_keys.items() if at > now - self.facts.dedup_window
+                    }
+            self.actions.append(Finished(job))
         for copies in list(self.copies.values()):
             # The very sum that `next_due` tells: rounded another way it would be due for ever.
             old = [copy for copy in copies if not copy.busy and copy.idle_since + self.facts.keep_alive <= now]
@@ -389,7 +391,7 @@
         self._dispatch(now)
 
     def _dispatch(self, now: float):
-        if now < self.still_until or self.fallen:
+        if now < self.paused_until or self.overloaded:
             return
         waiting: set[str] = set()
         for job in list(self.queue):
@@ -409,9 +411,9 @@
             self.queue.remove(job)
             copy.busy += 1
             job.copy, job.state = copy, "running"
-            self.number += 1
-            pace = max(0.01, self.facts.speed * self.share(now)) / self.crawl
-            heapq.heappush(self.running, (now + job.work / pace, self.number, job))
+            self.last_number += 1
+            pace = max(0.01, self.facts.speed * self.share(now)) / self.slowdown
+            heapq.heappush(self.running, (now + job.work / pace, self.last_number, job))
         for model in sorted(waiting):
             if not self.copies.get(model) and not any(load.model == model for load in self.loading):
                 # Its copy went (unloaded, void) while they waited for a lane.
@@ -419,7 +421,7 @@
                     for job in [job for job in self.queue if job.model == model]:
                         self.queue.remove(job)
                         self.tally.missed += 1
-                        self.acts.append(Missed(job, False))
+                        self.actions.append(Missed(job, False))
         if self.facts.scales:
             for model in sorted(waiting):
                 held = self.copies.get(model)
--- a/sprucespool/lab/world.py
+++ b/sprucespool/lab/world.py
@@ -528,7 +528,7 @@
             )
         )
         if self._on(process, "refuse"):
-            process.worker._weigh(self.now, job.work)
+            process.worker._record_sent_work(self.now, job.work)
             self._gone_from(process, job, "refused", "full")
         else:
             process.worker.arrive(self.now, job)
@@ -641,7 +641,9 @@
                 seen.Ordered(self.now, process.box.address, process.boot, one.about.number, effect.model, effect.copies)
             )
             if self._on(process, "hang") is None:
-                process.worker.order(self.now, wk.Ask(_Order(one, effect.order), effect.model, min(16, effect.copies)))
+                process.worker.order(
+                    self.now, wk.LoadOrder(_Order(one, effect.order), effect.model, min(16, effect.copies))
+                )
                 self._after(process)
 
         self._carried(one.name, name, came, lambda: self._give(one, ms.OrderEnded(effect.order, "unconnected")))
@@ -691,7 +693,7 @@
         for held in list(process.held.values()):
             self._carried(box.name, held.one.name, partial(self._forward_ends, held.one, held.forward, "reset"))
         process.held.clear()
-        for ask in process.worker.asks:
+        for ask in process.worker.orders:
             order = ask.tag
             assert isinstance(order, _Order)
             self._give(order.one, ms.OrderEnded(order.number, "reset"))
@@ -712,10 +714,10 @@
         if self.now >= ends and fault.kind != "flush" or not process.up:
             return
         if fault.kind == "crawl":
-            worker.crawl = fault.factor
-            self._later(ends - self.now, lambda: setattr(worker, "crawl", 1.0))
+            worker.slowdown = fault.factor
+            self._later(ends - self.now, lambda: setattr(worker, "slowdown", 1.0))
         elif fault.kind == "pauses":
-            worker.stand_still(self.now, fault.span)
+            worker.pause(self.now, fault.span)
             self._later(fault.every, partial(self._fault, number, fault))
         elif fault.kind == "flush":
             part = fault.share * 2**32
@@ -732,12 +734,12 @@
     def _after(self, process: _Process):
         """Carry out what the worker's last step left."""
         worker = process.worker
-        while worker.acts and process.up:
-            acts, worker.acts = worker.acts, []
+        while worker.actions and process.up:
+            acts, worker.actions = worker.actions, []
             for act in acts:
                 ACTS[type(act)](self, process, act)
         due = worker.next_due()
-        if due < process.looked_for and process.up and not worker.fallen:
+        if due < process.looked_for and process.up and not worker.overloaded:
             process.looked_for = due
             self._later(max(0.0, due - self.now), partial(self._look_at, process, due))
         if worker.draining and worker.idle and not process.held and process.up:
@@ -747,7 +749,7 @@
         # An earlier look has been there since, and set another one.
         if process.up and process.looked_for == due:
             process.looked_for = math.inf
-            process.worker.look(self.now)
+            process.worker.advance(self.now)
             self._after(process)
 
     def _gone_from(self, process: _Process, job: wk.Job, how: str, outcome: str, **told: Any) -> None:
@@ -785,14 +787,14 @@
         self._gone_from(process, act.job, "missed", "miss", load_failed=act.load_failed and self.day.invokers.tells)
 
     def _settled(self, process: _Process, act: wk.Settled):
-        order = act.ask.tag
+        order = act.order.tag
         assert isinstance(order, _Order)
         ended = ms.OrderEnded(
-            order.number, "returned" if act.stands else "full", act.standing if self.day.invokers.tells else 0
+            order.number, "returned" if act.fulfilled else "full", act.loaded_copies if self.day.invokers.tells else 0
         )
         self._carried(process.box.name, order.one.name, lambda: self._give(order.one, ended))
 
-    def _fell(self, process: _Process, act: wk.Fell):
+    def _fell(self, process: _Process, act: wk.Overloaded):
         self.note(seen.PushedOver(self.now, process.box.address, process.boot, act.sent, act.allowed))
         self.down(process.box)
 
@@ -974,7 +976,7 @@
     wk.Refused: DayWorld._refused,
     wk.Missed: DayWorld._missed,
     wk.Settled: DayWorld._settled,
-    wk.Fell: DayWorld._fell,
+    wk.Overloaded: DayWorld._fell,
     wk.FetchWanted: DayWorld._fetch,
 }
 
@@ -1000,7 +1002,7 @@
     "roster-lag": lambda world, step: setattr(world, "extra", step.figure),
     "roster-down": lambda world, step: world.roster_down(),
     "roster-up": lambda world, step: world.roster_down(False),
-    "library-slow": _library(slow=None),
+    "library-slow": _library(slowdown=None),
     "library-down": _library(down=True),
     "library-up": _library(down=False),
     "stall": DayWorld._stall,
--- a/sprucespool/standin/invoker.py
+++ b/sprucespool/standin/invoker.py
@@ -17,14 +17,14 @@
 import msgspec
 
 from sprucespool.emulator.worker import (
-    Ask,
-    Fell,
     FetchWanted,
     Finished,
     Job,
     Load,
+    LoadOrder,
     Missed,
     ModelInfo,
+    Overloaded,
     Refused,
     Settled,
     Worker,
@@ -144,7 +144,7 @@
         self.name = self.plan.advertise or self.where
         if self.plan.library:
             self.library = Pool(*address(self.plan.library), Limits(), PoolLimits(), self.plan.seed)
-        self.worker.born = now_ms()
+        self.worker.started_at = now_ms()
         facts = self.plan.facts
         self.note(
             seen.Booted(
@@ -186,10 +186,10 @@
         if now >= fault.at + fault.lasts and fault.kind != "flush":
             return
         if fault.kind == "crawl":
-            self.worker.crawl = fault.factor
+            self.worker.slowdown = fault.factor
             self.loop.call_at((fault.at + fault.lasts) / 1000.0, self._uncrawl)
         elif fault.kind == "pauses":
-            self.worker.stand_still(now, fault.span)
+            self.worker.pause(now, fault.span)
             self.loop.call_later(fault.every / 1000.0, self._fault, fault)
         elif fault.kind == "flush":
             part = fault.share * 2**32
@@ -204,7 +204,7 @@
         self._after(now)
 
     def _uncrawl(self):
-        self.worker.crawl = 1.0
+        self.worker.slowdown = 1.0
 
     def _unhang(self):
         withheld, self.withheld = self.withheld, []
@@ -250,7 +250,7 @@
         call.on_cancelled = lambda: self._gone(job)
         refusing = self._on("refuse")
         if refusing:
-            self.worker._weigh(now, work)
+            self.worker._record_sent_work(now, work)
             return self._refused(Refused(job, "a fault of the script"))
         self.worker.arrive(now, job)
         self._after(now)
@@ -283,7 +283,7 @@
         }
 
     def _process(self) -> Metadata:
-        process = {names.BOOT: self.plan.boot, names.AGE: f"{now_ms() - self.worker.born:.0f}"}
+        process = {names.BOOT: self.plan.boot, names.AGE: f"{now_ms() - self.worker.started_at:.0f}"}
         return {**process, names.DRAINING: "1"} if self.worker.draining else process
 
     def _finished(self, act: Finished):
@@ -351,14 +351,14 @@
         )
         if self._on("hang"):
             return
-        self.worker.order(now_ms(), Ask(call, asked.model_name, min(16, copies)))
+        self.worker.order(now_ms(), LoadOrder(call, asked.model_name, min(16, copies)))
         self._after(now_ms())
 
     def _settled(self, act: Settled):
-        call = act.ask.tag
+        call = act.order.tag
         assert isinstance(call, ServerCall)
-        trailers = {names.STANDING: str(act.standing)} if self.plan.tells else {}
-        if act.stands:
+        trailers = {names.STANDING: str(act.loaded_copies)} if self.plan.tells else {}
+        if act.fulfilled:
             call.send(oip.RepositoryModelLoadResponse().SerializeToString())
             call.finish(Status.OK, trailers=trailers)
         else:
@@ -405,15 +405,15 @@
 
     def _after(self, now: float):
         """Carry out what the worker's last step left, and come back when something is due."""
-        while self.worker.acts:
-            acts, self.worker.acts = self.worker.acts, []
+        while self.worker.actions:
+            acts, self.worker.actions = self.worker.actions, []
             for act in acts:
                 self._act(act)
         due = self.worker.next_due()
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        if due < math.inf and not self.worker.fallen:
+        if due < math.inf and not self.worker.overloaded:
             self.timer = self.loop.call_at(max(due, now) / 1000.0, self._due)
         if self.worker.draining and self.worker.idle and not self.held:
             self.ended.set()
@@ -430,14 +430,14 @@
             self._fetch(act.load)
         elif isinstance(act, Settled):
             self._settled(act)
-        elif isinstance(act, Fell):
+        elif isinstance(act, Overloaded):
             self.note(seen.PushedOver(now_ms(), self.name, self.plan.boot, act.sent, act.allowed))
             self.listener.close()
 
     def _due(self):
         self.timer = None
         now = now_ms()
-        self.worker.look(now)
+        self.worker.advance(now)
         self._after(now)
 
     # The end
--- a/sprucespool/standin/platform.py
+++ b/sprucespool/standin/platform.py
@@ -149,7 +149,7 @@
 
     def set(self, slow: float | None = None, down: bool | None = None) -> None:
         self._advance()
-        self.library.slow = slow if slow is not None else self.library.slow
+        self.library.slowdown = slow if slow is not None else self.library.slowdown
         self.library.down = down if down is not None else self.library.down
         self._arm()
 
@@ -164,7 +164,7 @@
             self.notes.write(seen.Count(now_ms(), "turned away", 1))
             call.finish(Status.RESOURCE_EXHAUSTED, "too many fetches")
         else:
-            call.on_cancelled = lambda: self.library.give_up(fetch)
+            call.on_cancelled = lambda: self.library.cancel(fetch)
         self._arm()
 
     def _advance(self):
--- a/tests/test_worker.py
+++ b/tests/test_worker.py
@@ -19,7 +19,7 @@
         self.now, self.acts, self.fetches, self.fails = 0.0, [], [], False
 
     def take(self):
-        acts, self.worker.acts = self.worker.acts, []
+        acts, self.worker.actions = self.worker.actions, []
         for act in acts:
             if isinstance(act, wk.FetchWanted):
                 self.fetches.append((self.now + 100.0, act.load))
@@ -42,7 +42,7 @@
             for at, load in [fetch for fetch in self.fetches if fetch[0] <= self.now]:
                 self.fetches.remove((at, load))
                 self.worker.fetched(self.now, load, not self.fails)
-            self.worker.look(self.now)
+            self.worker.advance(self.now)
             self.take()
             assert self.worker.used() <= self.worker.facts.memory
         self.now = end
@@ -76,21 +76,21 @@
     run = Run(keep_alive=1000.0)
     run.send()
     run.wait(800.0)
-    run.worker.order(run.now, wk.Ask(None, "m0", 1))
+    run.worker.order(run.now, wk.LoadOrder(None, "m0", 1))
     run.wait(800.0)
     assert "m0" in run.worker.copies
     run.wait(600.0)
-    assert "m0" not in run.worker.copies and run.ends(wk.Settled)[0].stands
+    assert "m0" not in run.worker.copies and run.ends(wk.Settled)[0].fulfilled
 
 
 def test_without_loads_on_demand_only_an_order_brings_a_copy():
     run = Run(loads_on_miss=False)
     run.send()
     assert [act.load_failed for act in run.ends(wk.Missed)] == [False]
-    run.worker.order(0.0, wk.Ask("o", "m0", 2))
+    run.worker.order(0.0, wk.LoadOrder("o", "m0", 2))
     run.take()
     run.wait(500.0)
-    assert [(act.stands, act.standing) for act in run.ends(wk.Settled)] == [(True, 2)]
+    assert [(act.fulfilled, act.loaded_copies) for act in run.ends(wk.Settled)] == [(True, 2)]
     run.send()
     run.wait(100.0)
     assert len(run.ends(wk.Finished)) == 1
@@ -101,20 +101,20 @@
     run.fails = True
     run.send()
     run.send()
-    run.worker.order(0.0, wk.Ask("o", "m0", 1))
+    run.worker.order(0.0, wk.LoadOrder("o", "m0", 1))
     run.wait(300.0)
     assert [act.load_failed for act in run.ends(wk.Missed)] == [True, True]
-    assert [act.stands for act in run.ends(wk.Settled)] == [False] and run.worker.used() == 0
+    assert [act.fulfilled for act in run.ends(wk.Settled)] == [False] and run.worker.used() == 0
 
 
 def test_a_cold_one_falls_over_when_pushed_and_not_before():
     run = Run(cold=True, cold_share=0.25, warm_after=10_000.0, fall_multiple=3.0, fall_window=1000.0, queue=1000)
     for _ in range(14):
         run.send(work=100.0)
-    assert not run.worker.fallen
+    assert not run.worker.overloaded
     for _ in range(3):
         run.send(work=100.0)
-    assert run.worker.fallen and len(run.ends(wk.Fell)) == 1
+    assert run.worker.overloaded and len(run.ends(wk.Overloaded)) == 1
     run.send()
     run.wait(5000.0)
     assert not run.ends(wk.Finished)
@@ -166,14 +166,14 @@
             run.worker.cancel(run.now, job)
             cancelled += [job] if job.state == "dropped" and job not in cancelled else []
         elif step == "order":
-            run.worker.order(run.now, wk.Ask(orders, model, figure))
+            run.worker.order(run.now, wk.LoadOrder(orders, model, figure))
             orders += 1
         elif step == "unload":
             run.worker.unload(run.now, model)
         elif step == "flush":
             run.worker.flush()
         elif step == "still":
-            run.worker.stand_still(run.now, 50.0 * figure)
+            run.worker.pause(run.now, 50.0 * figure)
         elif step == "wait":
             run.wait(40.0 * figure)
         run.take()
@@ -190,7 +190,7 @@
     assert taken == [True] * 4 + [False] and library.next_due() == 200.0
     assert library.advance(199.0) == [] and len(library.advance(200.0)) == 4
     library.begin(Fetch("a", 100.0))
-    library.slow = 3.0
+    library.slowdown = 3.0
     assert library.next_due() == 500.0
     library.down = True
     assert library.next_due() == math.inf and library.advance(900.0) == []
