--- a/sprucespool/emulator/library.py
+++ b/sprucespool/emulator/library.py
@@ -1,4 +1,4 @@
-"""The model library that all invokers fetch from: slows when crowded, turns fetches away past a limit."""
+"""Model of the model library that all invokers fetch from: slow under many fetches, rejects fetches past a limit."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LibraryFacts:
-    """`smooth` fetches at once run at full speed; `most` are taken at once."""
+    """Up to `smooth` concurrent fetches run at full speed; at most `most` are accepted."""
 
     smooth: int = 8
     most: int = 40
@@ -17,13 +17,15 @@
 
 @dataclass(slots=True, eq=False)
 class Fetch:
+    # Belongs to the caller.
     tag: object
+    # Remaining time at full speed, in ms.
     remaining: float
 
 
 @dataclass(slots=True, eq=False)
 class Library:
-    """Processor sharing: with more than `smooth` fetches each gets an even part. Times in ms."""
+    """Processor sharing: with more than `smooth` fetches each gets an equal share. Times in ms."""
 
     facts: LibraryFacts
     now: float = 0.0
@@ -39,26 +41,26 @@
         return min(1.0, self.facts.smooth / len(self.under_way)) / self.slowdown
 
     def advance(self, now: float) -> list[Fetch]:
-        """Fetches that are done by now. Call before any change."""
+        """Returns the fetches that are done by `now`. Must be called before any change."""
         done: list[Fetch] = []
         while self.under_way and self.now < now:
             pace = self._pace()
-            least = heapq.nsmallest(1, (fetch.remaining for fetch in self.under_way))[0]
-            span = min(now - self.now, least / pace if pace else math.inf)
+            shortest = heapq.nsmallest(1, (fetch.remaining for fetch in self.under_way))[0]
+            duration = min(now - self.now, shortest / pace if pace else math.inf)
             for fetch in self.under_way:
-                fetch.remaining -= span * pace
-            self.now += span
-            over = [fetch for fetch in self.under_way if fetch.remaining <= 1e-6]
+                fetch.remaining -= duration * pace
+            self.now += duration
+            completed = [fetch for fetch in self.under_way if fetch.remaining <= 1e-6]
             self.under_way = [fetch for fetch in self.under_way if fetch.remaining > 1e-6]
-            self.fetched += len(over)
-            done += over
+            self.fetched += len(completed)
+            done += completed
             if not pace:
                 break
         self.now = now
         return done
 
     def begin(self, fetch: Fetch) -> bool:
-        """After `advance`. False: turned away."""
+        """Starts a fetch; call `advance` first. Returns False if the fetch is rejected."""
         if self.down or len(self.under_way) >= self.facts.most:
             self.turned_away += 1
             return False
--- a/sprucespool/emulator/worker.py
+++ b/sprucespool/emulator/worker.py
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelInfo:
-    """What a copy takes: memory, lanes, the part of a load that is no fetch (ms)."""
+    """What a copy of a model needs: memory (MB), lanes, start time after the fetch and fetch time (both ms)."""
 
     memory: float
     lanes: int
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerFacts:
-    """Memory in MB, times in ms. `queue` and `load_queue` bound what waits."""
+    """Memory in MB, times in ms. `queue` and `load_queue` limit the waiting inferences and loads."""
 
     memory: float = 8000.0
     cores: int = 3
@@ -38,7 +38,7 @@
     fall_multiple: float = 3.0
     fall_window: float = 1_500.0
     loads_on_miss: bool = True
-    # Another copy by itself when all lanes of a model are taken.
+    # Whether the invoker loads another copy on its own when all lanes of a model are busy.
     scales: bool = True
     cancel_drops: bool = True
     dedup_window: float = 5_000.0
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """An inference at the worker; `work` is ms on a core of speed 1. `tag` is the owner's."""
+    """An inference at the worker; `work` is in ms on a core of speed 1. `tag` belongs to the owner of the worker."""
 
     tag: object
     model: str
@@ -76,14 +76,14 @@
 
 @dataclass(slots=True, eq=False)
 class LoadOrder:
-    """An order: settled when `copies` stand, or when it is clear that they will not."""
+    """A load order: settled when `copies` copies are loaded, or when it is clear that they will not be."""
 
     tag: object
     model: str
     copies: int
 
 
-# Actions
+# Actions for the owner of the worker to carry out
 
 
 @dataclass(slots=True)
@@ -93,7 +93,7 @@
 
 @dataclass(slots=True)
 class Refused:
-    """Rejected unseen: it never ran."""
+    """The job was rejected on arrival and never ran."""
 
     job: Job
     why: str
@@ -101,7 +101,7 @@
 
 @dataclass(slots=True)
 class Missed:
-    """The model is not here and does not come: it never ran."""
+    """The model is not loaded and no load is going to provide it; the job never ran."""
 
     job: Job
     load_failed: bool
@@ -121,7 +121,7 @@
 
 @dataclass(slots=True)
 class Overloaded:
-    """Pushed over while cold: it is down for good."""
+    """The invoker failed for good because it received more work while cold than it bears."""
 
     sent: float
     allowed: float
@@ -147,7 +147,7 @@
     facts: WorkerFacts
     catalog: dict[str, ModelInfo]
     started_at: float
-    # 0 for one that has run for long: it is warm.
+    # Whether the invoker goes through a slow start; False for one that has run for long.
     cold: bool = True
     actions: list[Action] = field(default_factory=list)
     copies: dict[str, list[Copy]] = field(default_factory=dict)
@@ -166,41 +166,42 @@
     last_number: int = 0
 
     def share(self, now: float) -> float:
-        """The part of its capacity that stands by now."""
+        """Returns the fraction of the capacity that is available at `now`."""
         if not self.cold:
             return 1.0
         grown = min(1.0, (now - self.started_at) / self.facts.warm_after)
         return self.facts.cold_share + (1 - self.facts.cold_share) * grown
 
     def used(self) -> float:
-        standing = sum(copy.info.memory for copies in self.copies.values() for copy in copies)
-        return standing + sum(load.info.memory for load in self.loading if load.state != "queued")
+        """Returns the memory in use, in MB: loaded copies and loads that have begun."""
+        resident = sum(copy.info.memory for copies in self.copies.values() for copy in copies)
+        return resident + sum(load.info.memory for load in self.loading if load.state != "queued")
 
     def _record_sent_work(self, now: float, work: float):
-        """Work sent, also what is then rejected, against what a cold one bears in a span."""
+        """Compares the work sent within the window, including rejected work, with what a cold invoker bears."""
         facts = self.facts
         if not self.cold or now - self.started_at > facts.warm_after or self.overloaded:
             return
         self.recent_work.append((now, work))
         while self.recent_work[0][0] < now - facts.fall_window:
             self.recent_work.popleft()
-        total = sum(weight for _, weight in self.recent_work)
+        total = sum(sent for _, sent in self.recent_work)
         allowed = facts.fall_multiple * self.share(now) * facts.cores * facts.speed * facts.fall_window
         if total > allowed:
             self.overloaded = True
             self.actions.append(Overloaded(total, allowed))
 
-    # What is asked of it
+    # Requests
 
     def arrive(self, now: float, job: Job) -> None:
         self._record_sent_work(now, job.work)
-        held = sum(other.model == job.model for _, _, other in self.running)
-        job.same_model = held + sum(other.model == job.model for other in self.queue)
+        running = sum(other.model == job.model for _, _, other in self.running)
+        job.same_model = running + sum(other.model == job.model for other in self.queue)
         info = self.catalog.get(job.model)
         if self.overloaded:
             return
         if job.key and self.finished_keys.get(job.key, -math.inf) > now - self.facts.dedup_window:
-            # Ran here a moment ago: answered without running again.
+            # The same inference ran here a moment ago: it is answered without running again.
             self.tally.repeats_dropped += 1
             self.actions.append(Finished(job))
             return
@@ -211,13 +212,13 @@
             )
             return
         if not self.copies.get(job.model):
-            waits = any(load.model == job.model for load in self.loading)
-            if not waits and not self.facts.loads_on_miss:
+            load_pending = any(load.model == job.model for load in self.loading)
+            if not load_pending and not self.facts.loads_on_miss:
                 self.tally.missed += 1
                 self.actions.append(Missed(job, False))
                 return
-            job.found = "awaited-load" if waits else "began-load"
-            if not waits and not self._begin_load(now, job.model, info):
+            job.found = "awaited-load" if load_pending else "began-load"
+            if not load_pending and not self._begin_load(now, job.model, info):
                 self.tally.refused += 1
                 self.actions.append(Refused(job, "no room for a load"))
                 return
@@ -225,49 +226,49 @@
         self._dispatch(now)
 
     def cancel(self, now: float, job: Job) -> None:
-        """Nobody waits for it: dropped if it waits, else it runs on (its end is nobody's)."""
+        """The caller gave up: a waiting job is dropped, a running one goes on and its result is ignored."""
         if job.state == "waiting" and self.facts.cancel_drops and job in self.queue:
             self.queue.remove(job)
             job.state = "dropped"
 
     def order(self, now: float, order: LoadOrder) -> None:
         info = self.catalog.get(order.model)
-        standing = len(self.copies.get(order.model, []))
+        loaded = len(self.copies.get(order.model, []))
         for copy in self.copies.get(order.model, []):
             copy.idle_since = max(copy.idle_since, now)
         if order.copies and (self.draining or info is None or self.overloaded):
-            self.actions.append(Settled(order, False, standing))
+            self.actions.append(Settled(order, False, loaded))
             return
-        if standing >= order.copies:
-            self.actions.append(Settled(order, True, standing))
+        if loaded >= order.copies:
+            self.actions.append(Settled(order, True, loaded))
             return
-        coming = sum(load.model == order.model for load in self.loading)
+        pending = sum(load.model == order.model for load in self.loading)
         assert info is not None
-        for _ in range(order.copies - standing - coming):
+        for _ in range(order.copies - loaded - pending):
             if not self._begin_load(now, order.model, info):
-                self.actions.append(Settled(order, False, standing))
+                self.actions.append(Settled(order, False, loaded))
                 return
         self.orders.append(order)
 
     def unload(self, now: float, model: str) -> int:
-        """Idle copies of the model go; those at work stay. Gives how many went."""
+        """Removes the idle copies of the model; busy ones stay. Returns how many were removed."""
         copies = self.copies.get(model, [])
         idle = [copy for copy in copies if not copy.busy]
         self._remove(idle)
         return len(idle)
 
     def flush(self, models: list[str] | None = None) -> None:
-        """All copies (of these models) go void at once (a release); those at work with their ends."""
+        """Invalidates all copies (of these models) at once, as a release does; busy ones once their jobs end."""
         for copies in [self.copies[model] for model in (list(self.copies) if models is None else models)]:
             self._remove([copy for copy in copies if not copy.busy])
             for copy in copies:
                 copy.idle_since = -math.inf
 
-    def pause(self, now: float, span: float) -> None:
-        """Nothing goes on for a while: all that runs or starts ends so much later."""
-        self.paused_until = max(self.paused_until, now + span)
-        self.running = [(end + span, n, job) for end, n, job in self.running]
-        self.starting = [(end + span, n, load) for end, n, load in self.starting]
+    def pause(self, now: float, duration: float) -> None:
+        """Nothing makes progress for `duration` ms: all that runs or starts ends that much later."""
+        self.paused_until = max(self.paused_until, now + duration)
+        self.running = [(end + duration, n, job) for end, n, job in self.running]
+        self.starting = [(end + duration, n, load) for end, n, load in self.starting]
 
     # Loads
 
@@ -287,8 +288,8 @@
 
     def _start_loads(self, now: float):
         for load in self.loading:
-            under_way = sum(other.state != "queued" for other in self.loading)
-            if load.state != "queued" or under_way >= self.facts.loads:
+            begun = sum(other.state != "queued" for other in self.loading)
+            if load.state != "queued" or begun >= self.facts.loads:
                 continue
             if not self._make_room(now, load.info.memory, load.model):
                 break
@@ -297,7 +298,7 @@
             self.actions.append(FetchWanted(load))
 
     def _make_room(self, now: float, memory: float, model: str) -> bool:
-        # A copy that somebody waits for is not idle: it would be loaded again at once.
+        # A copy that queued jobs wait for is not idle: it would be loaded again at once.
         wanted = {job.model for job in self.queue}
         idle = sorted(
             (copy for copies in self.copies.values() for copy in copies if not copy.busy and copy.model not in wanted),
@@ -315,40 +316,40 @@
         return free >= memory
 
     def fetched(self, now: float, load: Load, ok: bool) -> None:
-        """The library answered, or turned the fetch away."""
+        """The library has completed the fetch of `load` (`ok`) or rejected it."""
         if load not in self.loading:
             return
         if not ok:
             self.loading.remove(load)
             self.tally.load_failures += 1
-            self._load_over(now, load, False)
+            self._load_ended(now, load, False)
         else:
             load.state = "starting"
             self.last_number += 1
             heapq.heappush(self.starting, (now + load.info.start * self.slowdown, self.last_number, load))
         self._start_loads(now)
 
-    def _load_over(self, now: float, load: Load, stands: bool):
-        if stands:
+    def _load_ended(self, now: float, load: Load, succeeded: bool):
+        if succeeded:
             self.copies.setdefault(load.model, []).append(Copy(load.model, load.info, idle_since=now))
-        standing = len(self.copies.get(load.model, []))
-        coming = sum(other.model == load.model for other in self.loading)
-        if not stands and not standing and not coming:
+        loaded = len(self.copies.get(load.model, []))
+        pending = sum(other.model == load.model for other in self.loading)
+        if not succeeded and not loaded and not pending:
             for job in [job for job in self.queue if job.model == load.model]:
                 self.queue.remove(job)
                 self.tally.missed += 1
                 self.actions.append(Missed(job, True))
         for order in [order for order in self.orders if order.model == load.model]:
-            if standing >= order.copies or standing + coming < order.copies:
+            if loaded >= order.copies or loaded + pending < order.copies:
                 self.orders.remove(order)
-                self.actions.append(Settled(order, standing >= order.copies, standing))
+                self.actions.append(Settled(order, loaded >= order.copies, loaded))
 
     # Time
 
     def next_due(self) -> float:
-        """When to call `advance` next; infinity if nothing is due."""
+        """Returns when to call `advance` next; infinity if nothing is due."""
         due = min(self.running[0][0] if self.running else math.inf, self.starting[0][0] if self.starting else math.inf)
-        # A copy that somebody waits for does not expire, so its time is nothing to come back for.
+        # A copy that queued jobs wait for does not expire, so its keep-alive makes nothing due.
         wanted = {job.model for job in self.queue}
         idle = [
             copy.idle_since
@@ -361,12 +362,13 @@
         return max(due, self.paused_until) if due < math.inf else due
 
     def advance(self, now: float) -> None:
+        """Carries out everything that is due by `now`."""
         if now < self.paused_until:
             return
         while self.starting and self.starting[0][0] <= now:
             load = heapq.heappop(self.starting)[2]
             self.loading.remove(load)
-            self._load_over(now, load, True)
+            self._load_ended(now, load, True)
         while self.running and self.running[0][0] <= now:
             job = heapq.heappop(self.running)[2]
             job.state = "done"
@@ -382,11 +384,11 @@
                     }
             self.actions.append(Finished(job))
         for copies in list(self.copies.values()):
-            # The very sum that `next_due` tells: rounded another way it would be due for ever.
-            old = [copy for copy in copies if not copy.busy and copy.idle_since + self.facts.keep_alive <= now]
-            if old and not any(job.model == old[0].model for job in self.queue):
-                self.tally.expired += sum(copy.idle_since > -math.inf for copy in old)
-                self._remove(old)
+            # The same sum as in `next_due`: rounded differently, the copy would be due for ever.
+            expired = [copy for copy in copies if not copy.busy and copy.idle_since + self.facts.keep_alive <= now]
+            if expired and not any(job.model == expired[0].model for job in self.queue):
+                self.tally.expired += sum(copy.idle_since > -math.inf for copy in expired)
+                self._remove(expired)
         self._start_loads(now)
         self._dispatch(now)
 
@@ -416,7 +418,7 @@
             heapq.heappush(self.running, (now + job.work / pace, self.last_number, job))
         for model in sorted(waiting):
             if not self.copies.get(model) and not any(load.model == model for load in self.loading):
-                # Its copy went (unloaded, void) while they waited for a lane.
+                # The copy was unloaded or invalidated while these jobs waited for a lane.
                 if not self._begin_load(now, model, self.catalog[model]):
                     for job in [job for job in self.queue if job.model == model]:
                         self.queue.remove(job)
@@ -424,11 +426,11 @@
                         self.actions.append(Missed(job, False))
         if self.facts.scales:
             for model in sorted(waiting):
-                held = self.copies.get(model)
-                wants = sum(job.model == model for job in self.queue)
-                coming = sum(load.model == model for load in self.loading)
-                if held and not coming and wants >= held[0].info.lanes:
-                    self._begin_load(now, model, held[0].info)
+                loaded = self.copies.get(model)
+                queued = sum(job.model == model for job in self.queue)
+                pending = sum(load.model == model for load in self.loading)
+                if loaded and not pending and queued >= loaded[0].info.lanes:
+                    self._begin_load(now, model, loaded[0].info)
 
     @property
     def idle(self) -> bool:
