--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -28,7 +28,7 @@
 def _case(told: tuple[str, int, int, int, bool]) -> dict:
     case, size, boxes, seed, share = told
     begun = time.process_time()
-    found = play(case, size, boxes, seed, share, rate=1.0, look=2_000.0).as_dict()
+    found = play(case, size, boxes, seed, share, rate=1.0, observe_interval=2_000.0).as_dict()
     return {**found, "cpu": round(time.process_time() - begun, 1)}
 
 
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -21,8 +21,8 @@
 from pathlib import Path
 
 from sprucespool.emulator.explore import explore
-from sprucespool.emulator.group import Virtual
-from sprucespool.emulator.models import GroupWorld, SharesWorld, of_kind
+from sprucespool.emulator.group import VirtualGroup
+from sprucespool.emulator.models import GroupWorld, SharesWorld, world_factory
 from sprucespool.faults import LinkState
 
 
@@ -39,7 +39,7 @@
 
 
 def measure(size: int, seed: int, lossy: float) -> dict:
-    virtual = Virtual(size, seed=seed)
+    virtual = VirtualGroup(size, seed=seed)
     found = virtual.run(60_000, virtual.alike)
     virtual.run(20_000)
     said, begun, at = virtual.said, time.process_time(), virtual.now
@@ -47,7 +47,7 @@
     span = (virtual.now - at) / 1000
     steady = (virtual.said - said) / size / span
     cpu = (time.process_time() - begun) / size / span
-    weighing = Virtual(size, seed=seed, settled=True)
+    weighing = VirtualGroup(size, seed=seed, settled=True)
     weighing.load = lambda one: tuple(weighing.chance.uniform(1, 100) for _ in range(6))
     weighing.run(60_000)
     held = [sum(bool(found.row.figures) for found in one.table.present.values()) for one in weighing.members.values()]
@@ -62,11 +62,11 @@
     apart = virtual.run(120_000, lambda: all(virtual.alike(side) for side in sides), 500)
     virtual.links.heal("partition")
     whole = virtual.run(240_000, virtual.alike)
-    quiet = Virtual(size, seed=seed, loss=0.05, settled=True)
+    quiet = VirtualGroup(size, seed=seed, loss=0.05, settled=True)
     kinds: Counter[str] = Counter()
     quiet.watch = lambda member, event: kinds.update([event.kind])
     quiet.run(lossy)
-    deaf = Virtual(size, seed=seed, settled=True)
+    deaf = VirtualGroup(size, seed=seed, settled=True)
     deaf.run(3_000)
     turns: Counter[tuple[str, str]] = Counter()
     deaf.watch = lambda member, event: turns.update(
@@ -143,10 +143,10 @@
 
 def model() -> None:
     for name, make, depth in (
-        ("rules of merging and refuting, 3 members", of_kind(GroupWorld), 5),
-        ("the same, 4 members", of_kind(GroupWorld, members=4), 4),
-        ("shared parts, 2 numbers", of_kind(SharesWorld, of=2), 9),
-        ("shared parts, 3 numbers", of_kind(SharesWorld, of=3), 6),
+        ("rules of merging and refuting, 3 members", world_factory(GroupWorld), 5),
+        ("the same, 4 members", world_factory(GroupWorld, members=4), 4),
+        ("shared parts, 2 numbers", world_factory(SharesWorld, of=2), 9),
+        ("shared parts, 3 numbers", world_factory(SharesWorld, of=3), 6),
     ):
         begun = time.process_time()
         found = explore(make, depth)
@@ -156,8 +156,8 @@
                     "model": name,
                     "depth": found.depth,
                     "states": found.states,
-                    "whole": found.whole,
-                    "wrong": found.wrong,
+                    "whole": found.complete,
+                    "wrong": found.violation,
                     "cpu": round(time.process_time() - begun, 1),
                 }
             ),
--- a/sprucespool/cli/lab.py
+++ b/sprucespool/cli/lab.py
@@ -94,7 +94,7 @@
     save: Path | None,
     at: float,
 ) -> int:
-    """Gives the exit status. Raises ValueError on what cannot be played so, StandsStill, OSError."""
+    """Gives the exit status. Raises ValueError on what cannot be played so, TimeStalled, OSError."""
     if sockets and (controllers or invokers):
         raise ValueError("--sockets: expected the script's own sizes")
     beside = _over_sockets(day, decider) if sockets else None
--- a/sprucespool/cli/main.py
+++ b/sprucespool/cli/main.py
@@ -436,7 +436,7 @@
 ) -> None:
     """Play a day's script in virtual time, on the objects that serve; status 1 if a rule or invariant was broken."""
     from sprucespool.cli.lab import run_day
-    from sprucespool.emulator.group import StandsStill
+    from sprucespool.emulator.group import TimeStalled
 
     told = _day(script)
     _decider(decider)
@@ -446,7 +446,7 @@
         raise typer.Exit(
             run_day(told, controllers, invokers, decider, json, sockets, save, quantity(at, DURATIONS, "15s"))
         )
-    except (ValueError, StandsStill) as problem:
+    except (ValueError, TimeStalled) as problem:
         raise _refuse(f"{script}: {problem}") from None
     except OSError as problem:
         raise _refuse(f"{problem.filename or save}: {problem.strerror or problem}") from None
@@ -456,11 +456,11 @@
 def lab_go_on(saved: Path, json: Annotated[bool, typer.Option("--json", help="One JSON object.")] = False) -> None:
     """Play a saved world to its day's end."""
     from sprucespool.cli.lab import run_go_on
-    from sprucespool.emulator.group import StandsStill
+    from sprucespool.emulator.group import TimeStalled
 
     try:
         raise typer.Exit(run_go_on(saved, json))
-    except (ValueError, StandsStill) as problem:
+    except (ValueError, TimeStalled) as problem:
         raise _refuse(f"{saved}: {problem}") from None
     except OSError as problem:
         raise _refuse(f"{saved}: {problem.strerror or problem}") from None
--- a/sprucespool/emulator/cases.py
+++ b/sprucespool/emulator/cases.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from sprucespool.emulator.fleet import Box, FleetWorld
+from sprucespool.emulator.fleet import VirtualInvoker, FleetWorld
 from sprucespool.faults import LinkState
 from sprucespool.fleet import Fleet, Listed, Listing, Opinion, Record, Send, Word
 from sprucespool.fleet.records import Course
@@ -53,16 +53,22 @@
         return said
 
 
-def _every(boxes: list[Box], each: float, world: FleetWorld, act: Callable[[Box], None], begin: float = 500.0):
-    for n, box in enumerate(boxes):
-        world._later(begin + each * n, lambda box=box: act(box))  # type: ignore[misc]
+def _every(
+    invokers: list[VirtualInvoker],
+    each: float,
+    world: FleetWorld,
+    act: Callable[[VirtualInvoker], None],
+    begin: float = 500.0,
+):
+    for n, invoker in enumerate(invokers):
+        world._later(begin + each * n, lambda invoker=invoker: act(invoker))  # type: ignore[misc]
 
 
 def roster_dark(world: FleetWorld) -> None:
     """The roster is dead for 60 s while a third of the invokers drain and are replaced at the same addresses."""
     world.roster_down()
-    some = list(world.boxes.values())[::3]
-    _every(some, 30_000 / len(some), world, lambda box: world.replace(box, 2_500.0, 1_500.0))
+    some = list(world.invokers.values())[::3]
+    _every(some, 30_000 / len(some), world, lambda invoker: world.replace(invoker, 2_500.0, 1_500.0))
     world.run(60_000)
     world.roster_down(False)
 
@@ -70,25 +76,25 @@
 def pushed_to_one(world: FleetWorld) -> None:
     """The roster reaches one controller only, and the others' connections stand still."""
     world.only = {"c0"}
-    some = list(world.boxes.values())[::4]
-    _every(some, 10_000 / len(some), world, lambda box: world.replace(box, 2_500.0, 500.0))
+    some = list(world.invokers.values())[::4]
+    _every(some, 10_000 / len(some), world, lambda invoker: world.replace(invoker, 2_500.0, 500.0))
     world.run(20_000)
 
 
 def drained_for_one(world: FleetWorld) -> None:
     """The roster tells one controller that a third of the invokers drain; they themselves tell nobody, and serve on."""
     world.only = {"c0"}
-    for box in list(world.boxes.values())[::3]:
-        box.tells = False
-        world.drain(box)
+    for invoker in list(world.invokers.values())[::3]:
+        invoker.tells = False
+        world.drain(invoker)
     world.run(15_000)
 
 
 def old_copy(world: FleetWorld) -> None:
     """A roster restored from an old copy tells a third of the controllers its whole list, with earlier versions."""
     then, version = list(world.rows.values()), world.version
-    some = list(world.boxes.values())[::3]
-    _every(some, 5_000 / len(some), world, lambda box: world.replace(box, 1_000.0, 300.0))
+    some = list(world.invokers.values())[::3]
+    _every(some, 5_000 / len(some), world, lambda invoker: world.replace(invoker, 1_000.0, 300.0))
     world.run(12_000)
     world.old_copy(sorted(world.members)[::3], version, then)
     world.run(5_000)
@@ -98,15 +104,15 @@
     """Half of the controllers are cut off from the roster and the others; the halves are told different things."""
     names = sorted(world.members)
     near, far = set(names[::2]), set(names[1::2])
-    world.part([near | {"roster"}, far])
-    boxes = list(world.boxes.values())
+    world.partition([near | {"roster"}, far])
+    invokers = list(world.invokers.values())
     # The side of the roster hears of these; the far side of those from the invokers themselves.
-    _every(boxes[::6], 1_000, world, lambda box: world.replace(box, 2_500.0, 500.0))
-    _every(boxes[1::6], 1_000, world, lambda box: world.drain(box, listed=False))
+    _every(invokers[::6], 1_000, world, lambda invoker: world.replace(invoker, 2_500.0, 500.0))
+    _every(invokers[1::6], 1_000, world, lambda invoker: world.drain(invoker, listed=False))
     world.run(30_000)
     world.heal()
-    for box in boxes[1::6]:
-        world.publish(box)
+    for invoker in invokers[1::6]:
+        world.publish(invoker)
 
 
 def liar(world: FleetWorld) -> None:
@@ -119,9 +125,9 @@
 
 def one_zone(world: FleetWorld) -> None:
     """Some invokers answer the controllers of one zone only."""
-    boxes = [box for box in world.boxes.values() if box.zone == "z0"][::3]
+    invokers = [invoker for invoker in world.invokers.values() if invoker.zone == "z0"][::3]
     others = [one.name for one in world.members.values() if one.about.zone != "z0"]
-    world.links.put("one zone", others, [box.name for box in boxes], SILENT)
+    world.links.put("one zone", others, [invoker.name for invoker in invokers], SILENT)
     world.run(30_000)
     world.links.heal("one zone")
 
@@ -129,20 +135,20 @@
 def far_drain(world: FleetWorld) -> None:
     """A drain is told during a partition, on the far side only; those on this side know when it heals."""
     names = sorted(world.members)
-    world.part([set(names[::2]) | {"roster"}, set(names[1::2])])
+    world.partition([set(names[::2]) | {"roster"}, set(names[1::2])])
     world.run(12_000)
-    box = list(world.boxes.values())[1]
-    box.tells = False
-    world.drain(box)
+    invoker = list(world.invokers.values())[1]
+    invoker.tells = False
+    world.drain(invoker)
     world.run(10_000)
     world.heal()
 
 
 def replaced(world: FleetWorld) -> None:
     """Six in ten invokers are replaced within 7 s."""
-    boxes = list(world.boxes.values())
-    some = boxes[: round(0.6 * len(boxes))]
-    _every(some, 7_000 / len(some), world, lambda box: world.replace(box, 1_500.0, 1_000.0))
+    invokers = list(world.invokers.values())
+    some = invokers[: round(0.6 * len(invokers))]
+    _every(some, 7_000 / len(some), world, lambda invoker: world.replace(invoker, 1_500.0, 1_000.0))
     world.run(14_000)
 
 
@@ -163,10 +169,10 @@
 
 def flapping(world: FleetWorld) -> None:
     """An invoker stops and goes on answering every 300 ms."""
-    box = next(iter(world.boxes.values()))
+    invoker = next(iter(world.invokers.values()))
 
     def turn(left: int):
-        box.hung = not box.hung and left > 0
+        invoker.hung = not invoker.hung and left > 0
         if left > 0:
             world._later(300.0, lambda: turn(left - 1))
 
@@ -176,35 +182,35 @@
 
 def silent(world: FleetWorld) -> None:
     """One in eight invokers hangs for 15 s; the roster sees nothing of it."""
-    some = list(world.boxes.values())[::8]
-    for box in some:
-        box.hung = True
+    some = list(world.invokers.values())[::8]
+    for invoker in some:
+        invoker.hung = True
     world.run(15_000)
-    for box in some:
-        box.hung = False
+    for invoker in some:
+        invoker.hung = False
 
 
 def dead_unlisted(world: FleetWorld) -> None:
     """One in eight invokers dies with the roster down: nobody is told."""
     world.roster_down()
-    some = list(world.boxes.values())[::8]
-    for box in some:
-        world.down(box)
+    some = list(world.invokers.values())[::8]
+    for invoker in some:
+        world.down(invoker)
     world.run(15_000)
-    for box in some:
-        world.start(box)
+    for invoker in some:
+        world.start(invoker)
     world.roster_down(False)
 
 
 def thousand(world: FleetWorld) -> None:
     """A thousand invokers join at once."""
     for n in range(1_000):
-        box = Box(f"n{n}", f"new{n}", f"z{n % 3}", f"n{n}", world.now)
-        world.boxes[box.address] = box
-        world.noted.append(seen.Born(world.now, box.address, box.boot))
-        world.rows[box.address] = world._row(box)
+        invoker = VirtualInvoker(f"n{n}", f"new{n}", f"z{n % 3}", f"n{n}", world.now)
+        world.invokers[invoker.address] = invoker
+        world.noted.append(seen.Born(world.now, invoker.address, invoker.boot))
+        world.rows[invoker.address] = world._row(invoker)
     world.version += 1
-    rows = [world._row(box) for box in world.boxes.values()]
+    rows = [world._row(invoker) for invoker in world.invokers.values()]
     # A tenth of the controllers hear it from the roster; the others' connections come back later.
     for name in sorted(world.members)[::10]:
         world._tell(world.members[name], False, world.version, rows)
@@ -274,20 +280,20 @@
 def play(
     case: str,
     size: int,
-    boxes: int,
+    invokers: int,
     seed: int = 1,
     share: bool = True,
     rate: float = 2.0,
     kind: type[Fleet] = Fleet,
     bounds: seen.FleetBounds | None = None,
-    look: float = 500.0,
+    observe_interval: float = 500.0,
 ) -> Outcome:
     """One case from a settled group to equal views or 60 s after."""
-    world = FleetWorld(size, boxes, seed, share, rate, kind=kind, liars=int(case == "liar"), liar=Liar)
+    world = FleetWorld(size, invokers, seed, share, rate, kind=kind, liars=int(case == "liar"), liar=Liar)
     world.run(4_000)
     begun = world.figures.as_dict()
-    world.moments.clear()
-    world.looking(look)
+    world.events_by_controller.clear()
+    world.observe_every(observe_interval)
     CASES[case](world)
     # Changes that are still on their way are part of the case.
     world.run(2_500)
@@ -301,7 +307,7 @@
     verdict = world.verdict(bounds or seen.FleetBounds(alike_within=10_000.0))
     figures = {name: after - begun[name] for name, after in world.figures.as_dict().items()}
     kinds: dict[str, int] = {}
-    for _, event in world.moments:
+    for _, event in world.events_by_controller:
         kinds[event.kind] = kinds.get(event.kind, 0) + 1
     usable = world.usable or [1.0]
     return Outcome(
--- a/sprucespool/emulator/explore.py
+++ b/sprucespool/emulator/explore.py
@@ -1,6 +1,6 @@
 """Explicit-state exploration: every order of what may happen, to a depth, on the very objects that run.
 
-A state is reached by playing its moves from the start: objects need no copying, and a broken state comes with its way.
+A state is reached by playing its moves from the start: objects need no copying, and a broken state comes with its path.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class World(Protocol):
-    """`wrong` names what must not be, or is empty. A move is plain data."""
+    """`violation` names what must not be, or is empty. A move is plain data."""
 
     def moves(self) -> Iterable[Hashable]: ...
 
@@ -20,50 +20,50 @@
 
     def key(self) -> Hashable: ...
 
-    def wrong(self) -> str: ...
+    def violation(self) -> str: ...
 
 
 @dataclass(slots=True)
 class Explored:
-    """`wrong` with the way to it, or empty; `whole`: no state within the depth was left out."""
+    """`violation` with the path to it, or empty; `complete`: no state within the depth was left out."""
 
     states: int
     depth: int
-    whole: bool
-    wrong: str = ""
-    way: tuple = ()
+    complete: bool
+    violation: str = ""
+    path: tuple = ()
 
 
-def explore(make: Callable[[], World], depth: int, most: int = 1_000_000) -> Explored:
-    """Breadth first, so that a way to something wrong is one of the shortest."""
+def explore(make: Callable[[], World], depth: int, max_states: int = 1_000_000) -> Explored:
+    """Breadth first, so that a path to something violation is one of the shortest."""
     first = make()
-    if first.wrong():
-        return Explored(1, 0, True, first.wrong())
+    if first.violation():
+        return Explored(1, 0, True, first.violation())
     seen = {first.key()}
     waiting: deque[tuple] = deque([()])
     deepest = 0
     while waiting:
-        way = waiting.popleft()
-        if len(way) == depth:
+        path = waiting.popleft()
+        if len(path) == depth:
             continue
-        for move in list(_at(make, way).moves()):
-            world = _at(make, (*way, move))
-            wrong = world.wrong()
-            if wrong:
-                return Explored(len(seen), len(way) + 1, False, wrong, (*way, move))
+        for move in list(_at(make, path).moves()):
+            world = _at(make, (*path, move))
+            violation = world.violation()
+            if violation:
+                return Explored(len(seen), len(path) + 1, False, violation, (*path, move))
             key = world.key()
             if key in seen:
                 continue
-            if len(seen) >= most:
+            if len(seen) >= max_states:
                 return Explored(len(seen), deepest, False)
             seen.add(key)
-            deepest = len(way) + 1
-            waiting.append((*way, move))
+            deepest = len(path) + 1
+            waiting.append((*path, move))
     return Explored(len(seen), deepest, True)
 
 
-def _at(make: Callable[[], World], way: tuple) -> World:
+def _at(make: Callable[[], World], path: tuple) -> World:
     world = make()
-    for move in way:
+    for move in path:
         world.play(move)
     return world
--- a/sprucespool/emulator/fleet.py
+++ b/sprucespool/emulator/fleet.py
@@ -13,7 +13,7 @@
 from functools import partial
 from typing import Any
 
-from sprucespool.emulator.group import Virtual
+from sprucespool.emulator.group import VirtualGroup
 from sprucespool.fleet import Codec, Doubt, Fleet, FleetLimits, Listed, Note, Peer, Place, Send, Told
 from sprucespool.fleet.fleet import STATUS
 from sprucespool.judge import fleet as seen
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Box:
+class VirtualInvoker:
     """An invoker. `down_for` nobody: refuses connections. `hung`: takes forwards and answers none."""
 
     name: str
@@ -65,7 +65,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Mind:
+class _Routing:
     """What a controller goes by: places told, doubts told, and whom it set aside itself until when."""
 
     places: dict[str, Place] = field(default_factory=dict)
@@ -77,13 +77,13 @@
     well: list[Place] | None = None
 
 
-class FleetWorld(Virtual):
+class FleetWorld(VirtualGroup):
     """`share`: whether the fleets' notes are carried; without, each is alone with its roster and its own eyes."""
 
     def __init__(
         self,
         size: int,
-        boxes: int,
+        invokers: int,
         seed: int = 1,
         share: bool = True,
         rate: float = 2.0,
@@ -102,10 +102,10 @@
         self.kind, self.fleet_limits, self.share, self.rate = kind, fleet_limits or FleetLimits(), share, rate
         self.liars, self.liar, self.lag, self.extra, self.grace = liars, liar, lag, 0.0, grace
         self.fleets: dict[Group, Fleet] = {}
-        self.minds: dict[Group, _Mind] = {}
+        self.routing: dict[Group, _Routing] = {}
         self.fleet_due: dict[Group, float] = {}
         self.numbers, self.boots = itertools.count(1), itertools.count(1)
-        self.out: dict[int, tuple[Group, Box, str]] = {}
+        self.out: dict[int, tuple[Group, VirtualInvoker, str]] = {}
         self.figures = Figures()
         self.noted: list[seen.Happened] = []
         self.group_noted: list[group_seen.Happened] = []
@@ -114,20 +114,20 @@
         self.rows: dict[str, Told] = {}
         # Names that the roster pushes to; None stands for all.
         self.only: set[str] | None = None
-        self.boxes: dict[str, Box] = {}
+        self.invokers: dict[str, VirtualInvoker] = {}
         self.fleet_codec = Codec("virtual", "mark")
         self.encoded: tuple[Note | None, float, bytes] = (None, 0.0, b"")
         self.seen_rows: dict[tuple[str, int, State, int, int], group_seen.SeenRow] = {}
-        self.moments: list[Any] = []
+        self.events_by_controller: list[Any] = []
         self.usable: list[float] = []
         self.streams: dict[Group, float] = {}
         super().__init__(size, seed, zones, loss, limits, 3, member, settled)
-        for n in range(boxes):
-            box = Box(f"i{n}", f"w{n}", self.zone_of(n), f"b{next(self.boots)}", -1e6)
-            self.boxes[box.address] = box
-            self.rows[box.address] = self._row(box)
-            self.noted.append(seen.Born(0.0, box.address, box.boot))
-        self.version = boxes
+        for n in range(invokers):
+            invoker = VirtualInvoker(f"i{n}", f"w{n}", self.zone_of(n), f"b{next(self.boots)}", -1e6)
+            self.invokers[invoker.address] = invoker
+            self.rows[invoker.address] = self._row(invoker)
+            self.noted.append(seen.Born(0.0, invoker.address, invoker.boot))
+        self.version = invokers
         for one in list(self.members.values()):
             self._connect(one)
 
@@ -145,11 +145,11 @@
         one = super().join(name, address, zone, seeds, number, of)
         kind = self.liar if number < self.liars else self.kind
         fleet = kind((name, one.start), address, one.about.zone, self.seed * 7 + number, self.fleet_limits)
-        self.fleets[one], self.minds[one] = fleet, _Mind()
+        self.fleets[one], self.routing[one] = fleet, _Routing()
         self.noted.append(Began(self.now, name))
         self._later(self.chance.uniform(0, 100), lambda: self._fleet_tick(one))
         self._later(self.chance.expovariate(self.rate) * 1000, lambda: self._forward(one))
-        if self.boxes:
+        if self.invokers:
             self._connect(one)
         return one
 
@@ -161,7 +161,7 @@
     def kill(self, name: str) -> Group:
         one = super().kill(name)
         self.noted.append(Ended(self.now, name, "killed"))
-        self.fleets.pop(one), self.minds.pop(one)
+        self.fleets.pop(one), self.routing.pop(one)
         self.fleet_due.pop(one, None)
         return one
 
@@ -185,7 +185,7 @@
         return message, self._weighed(one, self.fleets[one].cargo(self._time(one)))
 
     def _weighed(self, one: Group, note: Note) -> bytes:
-        """As bytes, so that moments travel as ages here too."""
+        """As bytes, so that events_by_controller travel as ages here too."""
         now = self._time(one)
         if self.encoded[0] is not note or self.encoded[1] != now:
             # To several at once: the same bytes.
@@ -207,7 +207,7 @@
             self._fleet_do(one, fleet.heard(now, self.fleet_codec.decode(now, data)))
 
     def _fleet_do(self, one: Group, sends: Iterable[Send]):
-        fleet, mind = self.fleets[one], self.minds[one]
+        fleet, routing = self.fleets[one], self.routing[one]
         if self.share:
             for send in sends:
                 self.post(one.name, send.to, (None, self._weighed(one, send.note)))
@@ -215,12 +215,12 @@
             self._later(self.chance.uniform(2, 24), partial(self._probed, one, address))
         places, doubts, events = fleet.take()
         for place in places:
-            mind.places[place.address] = place
+            routing.places[place.address] = place
         if places or doubts:
-            mind.well = None
+            routing.well = None
         for doubt in doubts:
-            (mind.doubted.add if doubt.ill else mind.doubted.discard)(doubt.address)
-        self.moments += [(one.name, event) for event in events]
+            (routing.doubted.add if doubt.ill else routing.doubted.discard)(doubt.address)
+        self.events_by_controller += [(one.name, event) for event in events]
         self._learned(one, places, doubts)
         due = max(self.now + 1.0, fleet.due() - self.clock.get(one.name, 0.0))
         if due < self.fleet_due.get(one, math.inf) or self.fleet_due.get(one, math.inf) <= self.now:
@@ -238,16 +238,16 @@
     def _fleet_tick(self, one: Group):
         if one not in self.fleets:
             return
-        if one.name in self.still:
+        if one.name in self.paused:
             return self._later(50.0, lambda: self._fleet_tick(one))
         self.fleet_due.pop(one, None)
         self._fleet_do(one, self.fleets[one].tick(self._time(one)))
 
     # The roster
 
-    def _row(self, box: Box, gone: bool = False) -> Told:
-        listed = Listed.DRAINING if box.draining else Listed.IN_SERVICE
-        return Told((box.address, box.boot), listed, gone, box.zone, age=max(0.0, self.now - box.born))
+    def _row(self, invoker: VirtualInvoker, gone: bool = False) -> Told:
+        listed = Listed.DRAINING if invoker.draining else Listed.IN_SERVICE
+        return Told((invoker.address, invoker.boot), listed, gone, invoker.zone, age=max(0.0, self.now - invoker.born))
 
     def _reaches(self, one: Group) -> bool:
         return (
@@ -257,21 +257,21 @@
             and not self.links.between(one.name, "roster").cut
         )
 
-    def publish(self, box: Box, gone: bool = False) -> None:
+    def publish(self, invoker: VirtualInvoker, gone: bool = False) -> None:
         """The roster hears of it at once; controllers later, by the lag."""
-        row = self._row(box, gone)
+        row = self._row(invoker, gone)
         after = self.lag * self.chance.uniform(0.7, 1.3) + self.extra
-        self._later(after, lambda: self._published(box, row))
+        self._later(after, lambda: self._published(invoker, row))
 
-    def _published(self, box: Box, row: Told):
+    def _published(self, invoker: VirtualInvoker, row: Told):
         self.version += 1
-        known = self.rows.get(box.address)
+        known = self.rows.get(invoker.address)
         if row.gone and known is not None and known.process == row.process:
-            del self.rows[box.address]
+            del self.rows[invoker.address]
         elif not row.gone:
-            self.rows[box.address] = row
+            self.rows[invoker.address] = row
         for one in list(self.members.values()):
-            if self.minds[one].connected and self._reaches(one):
+            if self.routing[one].connected and self._reaches(one):
                 version = self.version
                 # A stream keeps its order.
                 due = max(self.now + self.chance.uniform(1, 25), self.streams.get(one, 0.0) + 0.01)
@@ -282,7 +282,7 @@
         fleet = self.fleets.get(one)
         if fleet is None:
             return
-        if one.name in self.still:
+        if one.name in self.paused:
             return self._later(50.0, lambda: self._tell(one, whole, version, rows, source))
         for row in rows:
             status = status_of(row)
@@ -298,17 +298,17 @@
             self._tell(self.members[name], True, version, rows)
 
     def _connect(self, one: Group):
-        if one not in self.minds or self.minds[one].connected:
+        if one not in self.routing or self.routing[one].connected:
             return
         if self._reaches(one):
-            self.minds[one].connected = True
+            self.routing[one].connected = True
             self._tell(one, True, self.version, list(self.rows.values()))
         else:
             self._later(self.chance.uniform(0.5, 1.5) * AGAIN, lambda: self._connect(one))
 
     def _break(self, one: Group):
-        if one in self.minds and self.minds[one].connected and not self._reaches(one):
-            self.minds[one].connected = False
+        if one in self.routing and self.routing[one].connected and not self._reaches(one):
+            self.routing[one].connected = False
             self.fleets[one].roster_lost(self._time(one))
             self._fleet_do(one, [])
             self._connect(one)
@@ -328,7 +328,7 @@
         for one in list(self.members.values()):
             self._later(CUT_KNOWN * self.chance.uniform(0.5, 1.0), partial(self._break, one))
 
-    def part(self, sides: list[set[str]]) -> None:
+    def partition(self, sides: list[set[str]]) -> None:
         """Controllers and the roster in parts that do not reach each other; invokers are reached by all."""
         self.links.partition("partition", sides)
         names = set(self.members)
@@ -340,115 +340,126 @@
 
     # Invokers
 
-    def drain(self, box: Box, listed: bool = True) -> None:
-        box.draining = True
+    def drain(self, invoker: VirtualInvoker, listed: bool = True) -> None:
+        invoker.draining = True
         if listed:
-            self.publish(box)
+            self.publish(invoker)
 
-    def down(self, box: Box) -> None:
-        box.up = False
+    def down(self, invoker: VirtualInvoker) -> None:
+        invoker.up = False
         for number, (one, other, _) in list(self.out.items()):
-            if other is box:
+            if other is invoker:
                 del self.out[number]
                 self._later(
-                    self.chance.uniform(1, 25), partial(self._back, one, number, "reset", box.address, "", False, None)
+                    self.chance.uniform(1, 25),
+                    partial(self._back, one, number, "reset", invoker.address, "", False, None),
                 )
 
-    def start(self, box: Box) -> None:
+    def start(self, invoker: VirtualInvoker) -> None:
         """Another process in its place."""
-        box.boot, box.born, box.up, box.draining, box.hung = f"b{next(self.boots)}", self.now, True, False, False
-        self.noted.append(seen.Born(self.now, box.address, box.boot))
-        self.publish(box)
+        invoker.boot, invoker.born, invoker.up, invoker.draining, invoker.hung = (
+            f"b{next(self.boots)}",
+            self.now,
+            True,
+            False,
+            False,
+        )
+        self.noted.append(seen.Born(self.now, invoker.address, invoker.boot))
+        self.publish(invoker)
 
-    def replace(self, box: Box, drain: float = 1_500.0, empty: float = 300.0) -> None:
+    def replace(self, invoker: VirtualInvoker, drain: float = 1_500.0, empty: float = 300.0) -> None:
         """Told to drain, ends after `drain`, another stands there `empty` later."""
-        self.drain(box)
+        self.drain(invoker)
 
         def ends():
-            self.down(box)
-            self._later(empty, lambda: self.start(box))
+            self.down(invoker)
+            self._later(empty, lambda: self.start(invoker))
 
         self._later(drain, ends)
 
     # Forwards
 
     def _usable(self, one: Group) -> list[Place]:
-        mind = self.minds[one]
-        if mind.well is None:
-            places = [place for place in mind.places.values() if place.status == "in service"]
-            well = [place for place in places if place.address not in mind.doubted]
-            mind.well = well if len(well) * 2 >= len(places) else places
-        if not mind.aside:
-            return mind.well
-        return [place for place in mind.well if mind.aside.get(place.address, -1.0) <= self.now] or mind.well
+        routing = self.routing[one]
+        if routing.well is None:
+            places = [place for place in routing.places.values() if place.status == "in service"]
+            well = [place for place in places if place.address not in routing.doubted]
+            routing.well = well if len(well) * 2 >= len(places) else places
+        if not routing.aside:
+            return routing.well
+        return [place for place in routing.well if routing.aside.get(place.address, -1.0) <= self.now] or routing.well
 
     def _forward(self, one: Group):
-        if one not in self.minds:
+        if one not in self.routing:
             return
         self._later(self.chance.expovariate(self.rate) * 1000, lambda: self._forward(one))
-        if one.name in self.still or not self.minds[one].places:
+        if one.name in self.paused or not self.routing[one].places:
             return
         usable = self._usable(one)
         if not usable:
             self.figures.none_left += 1
             return
         place = usable[self.chance.randrange(len(usable))]
-        box = self.boxes.get(place.address)
+        invoker = self.invokers.get(place.address)
         number, figures = next(self.numbers), self.figures
         figures.forwards += 1
         self.fleets[one].sent(self._time(one), number, place.address)
         delay = self.chance.uniform(1, 12)
-        if box is None:
+        if invoker is None:
             return self._later(delay, lambda: self._back(one, number, "unconnected", place.address, "", False, None))
-        self.out[number] = one, box, box.boot
-        self._later(delay, lambda: self._arrive(one, number, box, place))
+        self.out[number] = one, invoker, invoker.boot
+        self._later(delay, lambda: self._arrive(one, number, invoker, place))
 
-    def _arrive(self, one: Group, number: int, box: Box, place: Place):
+    def _arrive(self, one: Group, number: int, invoker: VirtualInvoker, place: Place):
         if number not in self.out:
             return
-        cut = self.links.between(one.name, box.name).cut or self.links.between(box.name, one.name).cut
+        cut = self.links.between(one.name, invoker.name).cut or self.links.between(invoker.name, one.name).cut
         if not cut:
-            self.noted.append(seen.Reached(self.now, one.name, box.address, box.boot if box.up else place.boot))
-        told = self.told.get((box.address, box.boot if box.up else place.boot))
+            self.noted.append(
+                seen.Reached(self.now, one.name, invoker.address, invoker.boot if invoker.up else place.boot)
+            )
+        told = self.told.get((invoker.address, invoker.boot if invoker.up else place.boot))
         self.figures.to_ended += told is not None and self.now > told + self.grace
-        if cut or box.hung and box.up:
-            self._later(2_500.0, lambda: self._back(one, number, "timed out", box.address, "", False, None))
-        elif not box.up:
-            self._later(5.0, lambda: self._back(one, number, "unconnected", box.address, "", False, None))
+        if cut or invoker.hung and invoker.up:
+            self._later(2_500.0, lambda: self._back(one, number, "timed out", invoker.address, "", False, None))
+        elif not invoker.up:
+            self._later(5.0, lambda: self._back(one, number, "unconnected", invoker.address, "", False, None))
         else:
-            boot, age = (box.boot, self.now - box.born) if box.tells else ("", None)
+            boot, age = (invoker.boot, self.now - invoker.born) if invoker.tells else ("", None)
             self._later(
                 self.chance.uniform(40, 160),
-                lambda: self._back(one, number, "returned", box.address, boot, box.tells and box.draining, age),
+                lambda: self._back(
+                    one, number, "returned", invoker.address, boot, invoker.tells and invoker.draining, age
+                ),
             )
 
     def _probed(self, one: Group, address: str):
-        box = self.boxes.get(address)
+        invoker = self.invokers.get(address)
         if (
             one in self.fleets
-            and box is not None
-            and box.up
-            and box.tells
-            and not box.hung
-            and not (self.links.between(one.name, box.name).cut)
+            and invoker is not None
+            and invoker.up
+            and invoker.tells
+            and not invoker.hung
+            and not (self.links.between(one.name, invoker.name).cut)
         ):
-            self.fleets[one].probed(self._time(one), address, box.boot, box.draining, self.now - box.born)
+            self.fleets[one].probed(self._time(one), address, invoker.boot, invoker.draining, self.now - invoker.born)
             self._fleet_do(one, [])
 
     def _back(self, one: Group, number: int, outcome: str, address: str, boot: str, draining: bool, age: float | None):
         known = self.out.pop(number, None)
         if one not in self.fleets or known is None and outcome == "returned":
             return
-        figures, mind = self.figures, self.minds[one]
+        figures, routing = self.figures, self.routing[one]
         figures.returned += outcome == "returned"
         figures.refused += outcome in ("unconnected", "reset")
         figures.timed_out += outcome == "timed out"
         if outcome == "returned":
-            mind.aside.pop(address, None)
-            mind.gap.pop(address, None)
+            routing.aside.pop(address, None)
+            routing.gap.pop(address, None)
         elif outcome in ("unconnected", "timed out"):
-            gap = mind.gap[address] = min(8_000.0, 2 * mind.gap.get(address, 500.0))
-            mind.aside[address] = self.now + gap
+            gap = routing.gap[address] = min(8_000.0, 2 * routing.gap.get(address, 500.0))
+            routing.aside[address] = self.now + gap
         self.fleets[one].ended(self._time(one), number, outcome, boot, draining, age)
         self._fleet_do(one, [])
 
@@ -459,9 +470,13 @@
             len({self.fleets[one].digest for name, one in self.members.items() if names is None or name in names}) == 1
         )
 
-    def look(self) -> None:
+    def observe(self) -> None:
         """Note all views for the judge, and how much of the fleet they leave to choose from."""
-        serving = {box.address for box in self.boxes.values() if box.up and not box.draining and not box.hung}
+        serving = {
+            invoker.address
+            for invoker in self.invokers.values()
+            if invoker.up and not invoker.draining and not invoker.hung
+        }
         open_to = [len({place.address for place in self._usable(one)} & serving) for one in self.members.values()]
         self.usable.append(sum(open_to) / max(1, len(open_to) * len(serving)))
         self.note_views()
@@ -481,7 +496,7 @@
     def note_members(self) -> None:
         """How all that run see the group, for its judge."""
         for name, one in self.members.items():
-            if name in self.still:
+            if name in self.paused:
                 continue
             rows = [self._seen_row(held.row) for held in one.table.records.values()]
             rows.append(group_seen.SeenRow(name, one.start, "alive", one.me.incarnation, one.me.version))
@@ -513,9 +528,9 @@
             self.now,
         )
 
-    def looking(self, every: float) -> None:
-        self.look()
-        self._later(every, lambda: self.looking(every))
+    def observe_every(self, every: float) -> None:
+        self.observe()
+        self._later(every, lambda: self.observe_every(every))
 
     def verdict(self, bounds: seen.FleetBounds) -> seen.FleetVerdict:
         return seen.check(self.noted, bounds, self.now)
--- a/sprucespool/emulator/group.py
+++ b/sprucespool/emulator/group.py
@@ -12,12 +12,12 @@
 from sprucespool.faults import Links, LinkState
 from sprucespool.membership import About, Codec, Event, Group, GroupLimits, Message, Outgoing
 
-LOOK_EVERY = 100.0
+CHECK_INTERVAL_MS = 100.0
 # Events at one instant; a whole fleet that starts at once has some thousands.
-MOST_AT_ONCE = 1_000_000
+MAX_EVENTS_AT_ONE_INSTANT = 1_000_000
 
 
-class StandsStill(RuntimeError):
+class TimeStalled(RuntimeError):
     """Time does not go on: something is due again and again at one instant."""
 
     def __init__(self, now: float, act: Callable[[], None]):
@@ -25,7 +25,7 @@
         super().__init__(f"time stands still at {now:.3f} ms: {getattr(inner, '__qualname__', inner)} comes up again")
 
 
-class Virtual:
+class VirtualGroup:
     """`members` by name are those that run now. `watch` sees each event with the member that had it."""
 
     def __init__(
@@ -45,7 +45,7 @@
         self.heap: list[tuple[float, int, Callable[[], None]]] = []
         self.members: dict[str, Group] = {}
         self.by_address: dict[str, Group] = {}
-        self.still: set[str] = set()
+        self.paused: set[str] = set()
         self.slow: dict[str, float] = {}
         self.clock: dict[str, float] = {}
         self.armed: dict[Group, float] = {}
@@ -90,7 +90,7 @@
             b"secret of %d" % self.starts,
         )
         self.members[name] = self.by_address[address] = one
-        self.still.discard(name)
+        self.paused.discard(name)
         self._later(self.chance.uniform(0, 100), lambda: self._tick(one))
         return one
 
@@ -140,7 +140,7 @@
     def _tick(self, one: Group):
         if not self._running(one):
             return
-        if one.name in self.still:
+        if one.name in self.paused:
             return self._later(50.0, lambda: self._tick(one))
         if self.load is not None:
             one.update_figures(self._time(one), self.load(one))
@@ -193,7 +193,7 @@
         one = self.by_address.get(to)
         if one is None or not self._running(one):
             return
-        if one.name in self.still:
+        if one.name in self.paused:
             # It waits in the socket and is read when the process goes on.
             return self._later(50.0, lambda: self._heard(to, message))
         before = one.due()
@@ -202,15 +202,17 @@
         if one.due() < before:
             self._arm(one)
 
-    def run(self, span: float, until: Callable[[], bool] | None = None, every: float = LOOK_EVERY) -> float | None:
-        """Let time go on; gives after how many ms `until` held, or None. Raises StandsStill."""
+    def run(
+        self, span: float, until: Callable[[], bool] | None = None, every: float = CHECK_INTERVAL_MS
+    ) -> float | None:
+        """Let time go on; gives after how many ms `until` held, or None. Raises TimeStalled."""
         begun, end, looked, same = self.now, self.now + span, self.now, 0
         while self.heap and self.heap[0][0] <= end:
             at, _, act = heapq.heappop(self.heap)
             same = same + 1 if at == self.now else 0
             self.now = at
-            if same > MOST_AT_ONCE:
-                raise StandsStill(self.now, act)
+            if same > MAX_EVENTS_AT_ONE_INSTANT:
+                raise TimeStalled(self.now, act)
             act()
             if until is not None and self.now - looked >= every:
                 looked = self.now
--- a/sprucespool/emulator/hunt.py
+++ b/sprucespool/emulator/hunt.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from sprucespool.emulator.fleet import Box
+from sprucespool.emulator.fleet import VirtualInvoker
 from sprucespool.emulator.plans import PlanWorld
 from sprucespool.faults import LinkState
 from sprucespool.fleet import Fleet
@@ -99,7 +99,7 @@
 
 
 @dataclass(slots=True)
-class Found:
+class CourseResult:
     """What a course came to. `events`: how many the queue held."""
 
     course: Course
@@ -132,8 +132,8 @@
             **build.more,
         )
 
-    def look(self) -> None:
-        super().look()
+    def observe(self) -> None:
+        super().observe()
         self.note_views()
         self.note_members()
 
@@ -141,7 +141,7 @@
         """What of it concerns the group: a clean part by its sides, all else as uneven."""
         sides = next(iter(self.parted.values())) if len(self.parted) == 1 and not self.uneven else []
         uneven = bool(self.uneven) or len(self.parted) > 1
-        self.noted.append(Faulted(self.now, sides, sorted(self.still), uneven))
+        self.noted.append(Faulted(self.now, sides, sorted(self.paused), uneven))
         self.links_changed()
 
     # Faults
@@ -155,39 +155,39 @@
 
         BEGINS[fault.kind](self, fault, f"{fault.kind} {number}", both)
 
-    def boxes_of(self, zone: str) -> list[Box]:
-        return [box for box in self.boxes.values() if box.zone == zone]
+    def invokers_of(self, zone: str) -> list[VirtualInvoker]:
+        return [invoker for invoker in self.invokers.values() if invoker.zone == zone]
 
 
 Both = Callable[[Callable[[], None], Callable[[], None]], None]
 
 
 def _lost(world: HuntWorld, fault: Fault, name: str, both: Both):
-    both(lambda: world.lose({fault.zone}), lambda: world.give_back({fault.zone}))
+    both(lambda: world.lose_zones({fault.zone}), lambda: world.restore_zones({fault.zone}))
 
 
 def _hang(world: HuntWorld, fault: Fault, name: str, both: Both):
     def hung(yes: bool):
-        for box in world.boxes_of(fault.zone):
-            box.hung = yes
+        for invoker in world.invokers_of(fault.zone):
+            invoker.hung = yes
 
     both(lambda: hung(True), lambda: hung(False))
 
 
 def _renew(world: HuntWorld, fault: Fault, name: str, both: Both):
     def begin():
-        for box in world.boxes_of(fault.zone)[::2]:
-            if box.up and not box.draining:
-                world.replace(box, 1_000.0, 300.0)
+        for invoker in world.invokers_of(fault.zone)[::2]:
+            if invoker.up and not invoker.draining:
+                world.replace(invoker, 1_000.0, 300.0)
 
     both(begin, lambda: None)
 
 
 def _drained(world: HuntWorld, fault: Fault, name: str, both: Both):
     def begin():
-        for box in world.boxes_of(fault.zone)[::2]:
-            if box.up and not box.draining:
-                world.replace(box, fault.lasts, 300.0)
+        for invoker in world.invokers_of(fault.zone)[::2]:
+            if invoker.up and not invoker.draining:
+                world.replace(invoker, fault.lasts, 300.0)
 
     both(begin, lambda: None)
 
@@ -214,7 +214,7 @@
 
 def _hold(world: HuntWorld, fault: Fault, name: str, both: Both):
     def held(yes: bool):
-        world.hold(fault.names, yes)
+        world.pause_controllers(fault.names, yes)
         world.changed()
 
     both(lambda: held(True), lambda: held(False))
@@ -293,7 +293,7 @@
 }
 
 
-def drawn(seed: int, most: int = 5, build: str = "sound") -> Course:
+def random_course(seed: int, most: int = 5, build: str = "sound") -> Course:
     """A course by chance: one to `most` faults, all of them over at `LAST`."""
     chance = random.Random(f"course {seed}")
     course = Course(seed=seed, build=build)
@@ -316,7 +316,7 @@
     return course
 
 
-def guided(seed: int, build: str = "sound") -> Course:
+def guided_course(seed: int, build: str = "sound") -> Course:
     """A course drawn at where one word decides, by the seed: ends of invokers that few controllers are told of (odd
     ones), a side that hears of no renewal (multiples of four), voters that hardly hear each other (the other even
     ones), while zones go and come."""
@@ -381,10 +381,10 @@
     return found
 
 
-def play(course: Course, build: Build | None = None, after: float = 50_000.0, every: float = 500.0) -> Found:
+def play(course: Course, build: Build | None = None, after: float = 50_000.0, every: float = 500.0) -> CourseResult:
     """One course, to `after` ms beyond its last fault, judged by all that must hold."""
     world = HuntWorld(course, build or Build())
-    world.looking(every)
+    world.observe_every(every)
     for fault in course.faults:
         world.set(fault)
     last = max((fault.at + fault.lasts for fault in course.faults), default=FIRST)
@@ -413,10 +413,10 @@
         for part, verdict in (("group", group.broken), ("fleet", fleet.broken), ("failover", failover.broken))
         for one in verdict
     ]
-    return Found(course, broken, next(world.number))
+    return CourseResult(course, broken, next(world.number))
 
 
-def shrunk(found: Found, again: Callable[[Course], Found]) -> Found:
+def shrink(found: CourseResult, again: Callable[[Course], CourseResult]) -> CourseResult:
     """The fewest faults that still break one of the same: first without each in turn, then each shorter."""
     wanted, best = found.which, found
     changed = True
--- a/sprucespool/emulator/models.py
+++ b/sprucespool/emulator/models.py
@@ -18,8 +18,8 @@
     """Rules of merging and refuting, time left out: any member may accuse any other and give it up at any moment.
     What is told stays in the air for good: it may come in any order, again, late, or never."""
 
-    def __init__(self, members: int = 3, kind: type[Group] = Group, told: int = 3):
-        self.kind, self.most_told = kind, told
+    def __init__(self, members: int = 3, kind: type[Group] = Group, max_messages: int = 3):
+        self.kind, self.max_messages = kind, max_messages
         self.names = [f"m{n}" for n in range(members)]
         self.starts = 100
         self.members: dict[str, Group] = {}
@@ -48,7 +48,7 @@
             yield "crash", name
             yield "leave", name
             yield "say", name
-            if len(self.air) < self.most_told:
+            if len(self.air) < self.max_messages:
                 yield "tell", name
             for seat, held in one.table.present.items():
                 yield ("accuse" if held.row.state is State.ALIVE else "give up"), name, seat[0]
@@ -107,7 +107,7 @@
             tuple(sorted(tuple(map(told, rows)) for rows in self.air)),
         )
 
-    def wrong(self) -> str:
+    def violation(self) -> str:
         return self.sins or self._unsettled()
 
     def _unsettled(self) -> str:
@@ -240,12 +240,12 @@
             tuple(sorted(self.air)),
         )
 
-    def wrong(self) -> str:
+    def violation(self) -> str:
         parts = {number: one.share(self.now) for number, one in self.run.items()}
         return f"the parts come to {sum(parts.values()):.3f}: {parts}" if sum(parts.values()) > 1 + 1e-9 else ""
 
 
-def of_kind(world: Callable[..., object], **over):
+def world_factory(world: Callable[..., object], **over):
     """A maker of worlds of that kind."""
     return lambda: world(**over)
 
@@ -263,8 +263,8 @@
         (True, "2", Listed.IN_SERVICE, False),
     )
 
-    def __init__(self, controllers: int = 2, kind: type[Fleet] = Fleet, told: int = 2):
-        self.kind, self.most_told, self.starts = kind, told, 0
+    def __init__(self, controllers: int = 2, kind: type[Fleet] = Fleet, max_messages: int = 2):
+        self.kind, self.max_messages, self.starts = kind, max_messages, 0
         self.fleets: dict[str, Fleet] = {}
         self.at: dict[str, int] = {}
         # What each was told by anybody: ends of the first process, the second one.
@@ -293,7 +293,7 @@
                 yield "sees", name, "2", False
             elif reached >= 2:
                 yield "sees", name, "1", True
-            if len(self.air) < self.most_told and self.fleets[name].view.records:
+            if len(self.air) < self.max_messages and self.fleets[name].view.records:
                 yield "tell", name
             for n in range(len(self.air)):
                 yield "hear", name, n
@@ -368,7 +368,7 @@
             self.starts,
         )
 
-    def wrong(self) -> str:
+    def violation(self) -> str:
         if self.sins:
             return self.sins
         # Whoever hears all of all holds the same.
@@ -391,7 +391,7 @@
         self,
         voters: int = 3,
         kind: type[Council] = Council,
-        words: int = 6,
+        max_messages: int = 6,
         keeps: bool = True,
         asks: bool = True,
         crashes: int = 1,
@@ -400,7 +400,7 @@
         reseats: int = 0,
     ):
         self.reseats, self.reseated = reseats, 0
-        self.kind, self.most, self.keeps, self.asks = kind, words, keeps, asks
+        self.kind, self.max_messages, self.keeps, self.asks = kind, max_messages, keeps, asks
         self.crashes, self.proposals = crashes, proposals
         self.names = tuple(f"v{n}" for n in range(voters))
         self.every = (*self.names, *(f"w{n}" for n in range(spares)))
@@ -420,13 +420,13 @@
 
     def moves(self) -> Iterable[Hashable]:
         for name, one in self.councils.items():
-            if one.role != "leader" and one.votes and len(self.air) < self.most:
+            if one.role != "leader" and one.votes and len(self.air) < self.max_messages:
                 yield "stand", name
                 if self.asks:
                     yield "wait over", name
-            if one.role == "leader" and self.proposed < self.proposals and len(self.air) < self.most:
+            if one.role == "leader" and self.proposed < self.proposals and len(self.air) < self.max_messages:
                 yield "propose", name
-            if one.role == "leader" and self.reseated < self.reseats and len(self.air) < self.most:
+            if one.role == "leader" and self.reseated < self.reseats and len(self.air) < self.max_messages:
                 for other in self.every:
                     if other != name:
                         yield "reseat", name, other
@@ -500,5 +500,5 @@
         ]
         return repr(held), repr(self.air), self.proposed, self.crashed, self.reseated
 
-    def wrong(self) -> str:
+    def violation(self) -> str:
         return self.sins
--- a/sprucespool/emulator/plans.py
+++ b/sprucespool/emulator/plans.py
@@ -18,7 +18,7 @@
 from functools import partial
 from typing import Any
 
-from sprucespool.emulator.fleet import Box, FleetWorld
+from sprucespool.emulator.fleet import VirtualInvoker, FleetWorld
 from sprucespool.emulator.liars import LyingMeter
 from sprucespool.failover import (
     Codec,
@@ -53,7 +53,7 @@
 
 
 @dataclass(slots=True)
-class Habits:
+class WorldParameters:
     """Of the world: `load` is the part of all warm cores that clients ask; the part of it that stays in its region."""
 
     cores: int = 2
@@ -66,7 +66,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Part:
+class _FailoverState:
     """One controller's part of failover."""
 
     failover: Failover
@@ -100,17 +100,17 @@
 
 
 class PlanWorld(FleetWorld):
-    """`size` controllers and `boxes` invokers in `zones` zones of `regions` regions."""
+    """`size` controllers and `invokers` invokers in `zones` zones of `regions` regions."""
 
     def __init__(
         self,
         size: int,
-        boxes: int,
+        invokers: int,
         seed: int = 1,
         decider: str = "common",
         zones: int = 6,
         regions: int = 3,
-        habits: Habits | None = None,
+        parameters: WorldParameters | None = None,
         kind: type[Failover] = Failover,
         steer: type[Steer] = Steer,
         limits: PlannerLimits | None = None,
@@ -122,13 +122,18 @@
     ):
         if decider not in DECIDERS:
             raise ValueError(f"decider: expected one of {', '.join(DECIDERS)}, got {decider!r}")
-        self.decider, self.habits, self.failover_kind, self.steer_kind = decider, habits or Habits(), kind, steer
+        self.decider, self.parameters, self.failover_kind, self.steer_kind = (
+            decider,
+            parameters or WorldParameters(),
+            kind,
+            steer,
+        )
         self.topology = Topology(self.regions_of(zones, regions))
         self.planner_limits = limits or PlannerLimits()
         self.plan_codec = Codec("virtual", "mark")
         self.voters = tuple(f"c{n}" for n in range(voters)) if isinstance(voters, int) else voters
         self.replace_after = replace_after
-        self.parts: dict[Group, _Part] = {}
+        self.failover_states: dict[Group, _FailoverState] = {}
         self.ballots: dict[str, Ballot] = {}
         self.queues: dict[str, deque[float]] = {}
         self.asked: list[tuple[float, str, bool]] = []
@@ -141,11 +146,11 @@
         self.grown: dict[str, float] = {}
         self.fulls: dict[str, float] = {}
         self.slowed: dict[str, float] = {}
-        mean = sum(self.habits.run) / 2
-        rate = self.habits.load * boxes * self.habits.cores / (mean / 1000.0) / size
+        mean = sum(self.parameters.run) / 2
+        rate = self.parameters.load * invokers * self.parameters.cores / (mean / 1000.0) / size
         self.sight: dict[str, ZoneState] = {}
-        super().__init__(size, boxes, seed, True, rate, kind=fleet, zones=zones, limits=group_limits, **more)
-        self.load = lambda one: self.parts[one].meter.figures(self.now) if one in self.parts else ()
+        super().__init__(size, invokers, seed, True, rate, kind=fleet, zones=zones, limits=group_limits, **more)
+        self.load = lambda one: self.failover_states[one].meter.figures(self.now) if one in self.failover_states else ()
         self.latency: dict[tuple[str, str], tuple[float, float]] = {}
         for one, other in ((a, b) for a in self.topology.zones for b in self.topology.zones if a < b):
             same = self.topology.same_region(one, other)
@@ -168,7 +173,7 @@
         one = super().join(name, address, zone, seeds, number, of)
         kept = self.ballots.get(name, Ballot() if name in self.voters else None)
         where = one.about.zone
-        self.parts[one] = _Part(
+        self.failover_states[one] = _FailoverState(
             self.failover_kind(
                 name,
                 self.topology,
@@ -182,7 +187,7 @@
             Meter(where),
             Spread(self.seed * 37 + number),
             Planner(self.topology, self.planner_limits),
-            Gauge(self.topology, GaugeLimits(self.habits.cold_share, self.habits.warm_after)),
+            Gauge(self.topology, GaugeLimits(self.parameters.cold_share, self.parameters.warm_after)),
             near(self.topology.zones),
         )
         self._later(self.chance.uniform(0, TICK), lambda: self._plan_tick(one))
@@ -190,16 +195,16 @@
 
     def kill(self, name: str) -> Group:
         one = super().kill(name)
-        self.parts.pop(one)
+        self.failover_states.pop(one)
         return one
 
     # What rides, and what is told by itself
 
     def _wrapped(self, one: Group, message: Message) -> Any:
         wrapped = super()._wrapped(one, message)
-        if self.decider != "common" or one not in self.parts:
+        if self.decider != "common" or one not in self.failover_states:
             return wrapped
-        failover = self.parts[one].failover
+        failover = self.failover_states[one].failover
         return (
             *wrapped,
             self.plan_codec.encode(Said(one.name, failover.epoch, None, failover.council.renewal(self._time(one)))),
@@ -214,7 +219,7 @@
         super()._delivered(one, message)
 
     def _plan_heard(self, one: Group, said: Said):
-        part, now = self.parts.get(one), self._time(one)
+        part, now = self.failover_states.get(one), self._time(one)
         if part is None:
             return
         if said.renewal is not None:
@@ -246,15 +251,15 @@
         standing = [
             Standing(
                 place.zone,
-                place.size * self.habits.cores,
+                place.size * self.parameters.cores,
                 None if place.born is None else now - place.born,
                 place.address in fleet.doubted,
             )
             for place in fleet.told.values()
             if place.status == "in service"
         ]
-        loaded = [Loaded(one.about.zone, *self.parts[one].meter.figures(now), at=now)]
-        part = self.parts[one]
+        loaded = [Loaded(one.about.zone, *self.failover_states[one].meter.figures(now), at=now)]
+        part = self.failover_states[one]
         for row in one.live():
             told, at = part.reports.of(now, row.name, row.figures)
             if row.seat != one.me.seat and len(told) == 5:
@@ -264,12 +269,12 @@
         return part.gauge.states(now, standing, loaded, plan)
 
     def _plan_tick(self, one: Group):
-        if one not in self.parts:
+        if one not in self.failover_states:
             return
         self._later(TICK, lambda: self._plan_tick(one))
-        if one.name in self.still or self.decider in ("today", "top"):
+        if one.name in self.paused or self.decider in ("today", "top"):
             return
-        part, now = self.parts[one], self._time(one)
+        part, now = self.failover_states[one], self._time(one)
         council = part.failover.council
         if self.decider == "alone" or council.votes or council.in_force(now) is None or not int(now / TICK) % 8:
             # Who only follows needs them for its own safety alone: looked at now and then.
@@ -301,26 +306,26 @@
         if self.decider != "top":
             return
         cores = dict.fromkeys(self.topology.zones, 0.0)
-        for box in self.boxes.values():
-            if box.up and not box.hung and not box.draining:
-                cores[box.zone] += self._speed(box) * self.habits.cores
+        for invoker in self.invokers.values():
+            if invoker.up and not invoker.hung and not invoker.draining:
+                cores[invoker.zone] += self._speed(invoker) * self.parameters.cores
         alive: dict[str, int] = {}
         for member in self.members.values():
             alive[member.about.zone] = alive.get(member.about.zone, 0) + 1
-        mean = sum(self.habits.run) / 2_000.0
+        mean = sum(self.parameters.run) / 2_000.0
         self.sight = {}
         for zone in self.topology.zones:
             asked = alive.get(zone, 0) * self.rate * self.grown.get(zone, 1.0) * mean
             self.sight[zone] = ZoneState(
-                zone, cores[zone], cores[zone], asked * (1 - self.habits.stays), asked * self.habits.stays
+                zone, cores[zone], cores[zone], asked * (1 - self.parameters.stays), asked * self.parameters.stays
             )
         free, bound, caps, _ = Planner(self.topology, self.planner_limits).target(self.sight)
         plan = Plan((1, 1), free, bound, caps)
-        for part in self.parts.values():
+        for part in self.failover_states.values():
             part.plan = plan
 
     def _zones(self, one: Group, bound: bool) -> tuple[str, ...]:
-        part, now = self.parts[one], self._time(one)
+        part, now = self.failover_states[one], self._time(one)
         if self.decider == "today":
             return (
                 tuple(self.topology.zones)
@@ -333,21 +338,21 @@
     # Inferences
 
     def _forward(self, one: Group):
-        if one not in self.minds:
+        if one not in self.routing:
             return
         rate = self.rate * self.grown.get(one.about.zone, 1.0)
         clients = self.clients.setdefault(one.name, random.Random(f"{self.seed} {one.name}"))
         self._later(clients.expovariate(rate) * 1000, lambda: self._forward(one))
-        bound, work = clients.random() < self.habits.stays, clients.uniform(*self.habits.run)
-        if one.name in self.still or not self.minds[one].places:
+        bound, work = clients.random() < self.parameters.stays, clients.uniform(*self.parameters.run)
+        if one.name in self.paused or not self.routing[one].places:
             return
-        self.parts[one].meter.arrived(self._time(one), GROUP, bound, sum(self.habits.run) / 2)
+        self.failover_states[one].meter.arrived(self._time(one), GROUP, bound, sum(self.parameters.run) / 2)
         self._try(one, self._zones(one, bound), bound, work, self.now, 0)
 
     def _try(self, one: Group, zones: tuple[str, ...], bound: bool, work: float, since: float, nth: int):
-        if one not in self.minds:
+        if one not in self.routing:
             return
-        home, own = one.about.zone, self.parts[one].own
+        home, own = one.about.zone, self.failover_states[one].own
         usable = [
             place
             for place in self._usable(one)
@@ -364,25 +369,27 @@
         usable = [place for place in usable if own.get(place.address, 0) == least]
         place = usable[self.chance.randrange(len(usable))]
         own[place.address] = own.get(place.address, 0) + 1
-        box, number = self.boxes.get(place.address), next(self.numbers)
+        invoker, number = self.invokers.get(place.address), next(self.numbers)
         self.figures.forwards += 1
         self.fleets[one].sent(self._time(one), number, place.address)
         least_way, most_way = self.latency.get((home, place.zone), (0.5, 1.5))
         way = self.chance.uniform(least_way, most_way)
         then = partial(self._ended, one, number, place, bound, work, since, nth, zones)
-        if box is not None:
-            self.out[number] = one, box, box.boot
-            self._later(way, lambda: self._at_box(one, number, box, bound, work, nth, way, then))
-
-    def _speed(self, box: Box) -> float:
-        grown = min(1.0, max(0.0, self.now - box.born) / self.habits.warm_after)
-        return (self.habits.cold_share + (1 - self.habits.cold_share) * grown) / self.slowed.get(box.zone, 1.0)
+        if invoker is not None:
+            self.out[number] = one, invoker, invoker.boot
+            self._later(way, lambda: self._at_invoker(one, number, invoker, bound, work, nth, way, then))
+
+    def _speed(self, invoker: VirtualInvoker) -> float:
+        grown = min(1.0, max(0.0, self.now - invoker.born) / self.parameters.warm_after)
+        return (self.parameters.cold_share + (1 - self.parameters.cold_share) * grown) / self.slowed.get(
+            invoker.zone, 1.0
+        )
 
-    def _at_box(
+    def _at_invoker(
         self,
         one: Group,
         number: int,
-        box: Box,
+        invoker: VirtualInvoker,
         bound: bool,
         work: float,
         nth: int,
@@ -391,23 +398,27 @@
     ):
         if number not in self.out:
             return then("reset", 0.0)
-        if self.links.between(one.name, box.name).cut or self.links.between(box.name, one.name).cut or box.hung:
+        if (
+            self.links.between(one.name, invoker.name).cut
+            or self.links.between(invoker.name, one.name).cut
+            or invoker.hung
+        ):
             return self._later(TTL - SLO, lambda: then("timed out", 0.0))
-        if not box.up:
+        if not invoker.up:
             return self._later(way, lambda: then("unconnected", 0.0))
-        self.reached.append(judged.Reached(self.now, one.name, one.about.zone, box.zone, work, bound, nth > 0))
-        ends = self.queues.setdefault(box.address, deque())
+        self.reached.append(judged.Reached(self.now, one.name, one.about.zone, invoker.zone, work, bound, nth > 0))
+        ends = self.queues.setdefault(invoker.address, deque())
         while ends and ends[0] <= self.now:
             ends.popleft()
-        if len(ends) >= self.habits.queue:
+        if len(ends) >= self.parameters.queue:
             return self._later(way, lambda: then("full", 0.0))
         # Earliest free core of those taken: the queue holds when each of what is there ends.
         busy = sorted(ends)
-        begins = self.now if len(busy) < self.habits.cores else busy[len(busy) - self.habits.cores]
-        done = begins + work / self._speed(box)
+        begins = self.now if len(busy) < self.parameters.cores else busy[len(busy) - self.parameters.cores]
+        done = begins + work / self._speed(invoker)
         ends.append(done)
         if len(ends) > 1 and ends[-2] > done:
-            self.queues[box.address] = deque(sorted(ends))
+            self.queues[invoker.address] = deque(sorted(ends))
         self._later(done - self.now + way, lambda: then("returned", done - self.now))
 
     def _ended(
@@ -427,7 +438,7 @@
             del self.out[number]
         elif outcome == "returned":
             outcome = "reset"
-        part = self.parts.get(one)
+        part = self.failover_states.get(one)
         if part is None:
             return
         part.own[place.address] -= 1
@@ -435,18 +446,21 @@
         self.figures.returned += well
         self.figures.refused += outcome in ("unconnected", "reset")
         self.figures.timed_out += outcome == "timed out"
-        mind, box = self.minds[one], self.boxes[place.address]
+        routing, invoker = self.routing[one], self.invokers[place.address]
         if outcome == "full":
             # As the module does: no more there for about a run, by any of its inferences.
-            self.fulls[place.address] = self.now + sum(self.habits.run) / 4
+            self.fulls[place.address] = self.now + sum(self.parameters.run) / 4
         if well or outcome == "full":
-            mind.aside.pop(place.address, None)
-            mind.gap.pop(place.address, None)
+            routing.aside.pop(place.address, None)
+            routing.gap.pop(place.address, None)
         else:
-            gap = mind.gap[place.address] = min(8_000.0, 2 * mind.gap.get(place.address, 500.0))
-            mind.aside[place.address] = self.now + gap
+            gap = routing.gap[place.address] = min(8_000.0, 2 * routing.gap.get(place.address, 500.0))
+            routing.aside[place.address] = self.now + gap
         self.fleets[one].ended(
-            now, number, outcome, *((box.boot, box.draining, self.now - box.born) if well else ("", False, None))
+            now,
+            number,
+            outcome,
+            *((invoker.boot, invoker.draining, self.now - invoker.born) if well else ("", False, None)),
         )
         self._fleet_do(one, [])
         part.steer.ended(now, place.zone, well or outcome == "full")
@@ -470,31 +484,31 @@
         self.first_fault = min(self.first_fault, when)
         self._later(when - self.now, happen)
 
-    def lose(self, zones: set[str]) -> None:
+    def lose_zones(self, zones: set[str]) -> None:
         """All invokers of the zones are gone at once."""
-        for box in self.boxes.values():
-            if box.zone in zones and box.up:
-                self.down(box)
-                self._later(500.0, partial(self._found_gone, box, box.boot))
+        for invoker in self.invokers.values():
+            if invoker.zone in zones and invoker.up:
+                self.down(invoker)
+                self._later(500.0, partial(self._found_gone, invoker, invoker.boot))
 
-    def _found_gone(self, box: Box, boot: str):
-        if not box.up and box.boot == boot:
-            self.publish(box, gone=True)
+    def _found_gone(self, invoker: VirtualInvoker, boot: str):
+        if not invoker.up and invoker.boot == boot:
+            self.publish(invoker, gone=True)
 
-    def give_back(self, zones: set[str]) -> None:
+    def restore_zones(self, zones: set[str]) -> None:
         """They start anew, cold."""
-        for box in self.boxes.values():
-            if box.zone in zones and not box.up:
-                self.start(box)
+        for invoker in self.invokers.values():
+            if invoker.zone in zones and not invoker.up:
+                self.start(invoker)
 
-    def hold(self, names: set[str], held: bool) -> None:
-        self.still = self.still | names if held else self.still - names
+    def pause_controllers(self, names: set[str], held: bool) -> None:
+        self.paused = self.paused | names if held else self.paused - names
 
     # Looking
 
-    def look(self) -> None:
+    def observe(self) -> None:
         for name, one in self.members.items():
-            part, now = self.parts[one], self._time(one)
+            part, now = self.failover_states[one], self._time(one)
             plan = part.failover.council.in_force(now) if self.decider == "common" else None
             if plan is not None:
                 self.views.append(
@@ -505,7 +519,7 @@
             else:
                 self.views.append(judged.PlanView(self.now, name, one.start, (0, 0), ""))
 
-    def came(self, bounds: judged.FailoverBounds | None = None) -> Came:
+    def result(self, bounds: judged.FailoverBounds | None = None) -> Came:
         begin = 3_000.0
         told = replace(
             bounds or judged.FailoverBounds(),
@@ -545,19 +559,19 @@
 
 
 def zone_lost(world: PlanWorld, span: float = 30_000.0) -> None:
-    world.at(10_000.0, lambda: world.lose({"z0"}))
-    world.at(10_000.0 + span, lambda: world.give_back({"z0"}))
+    world.at(10_000.0, lambda: world.lose_zones({"z0"}))
+    world.at(10_000.0 + span, lambda: world.restore_zones({"z0"}))
 
 
 def region_lost(world: PlanWorld) -> None:
-    world.at(10_000.0, lambda: world.lose({"z0", "z3"}))
-    world.at(40_000.0, lambda: world.give_back({"z0", "z3"}))
+    world.at(10_000.0, lambda: world.lose_zones({"z0", "z3"}))
+    world.at(40_000.0, lambda: world.restore_zones({"z0", "z3"}))
 
 
 def flapping(world: PlanWorld) -> None:
     for n in range(8):
-        world.at(10_000.0 + 4_000.0 * n, lambda: world.lose({"z0"}))
-        world.at(12_000.0 + 4_000.0 * n, lambda: world.give_back({"z0"}))
+        world.at(10_000.0 + 4_000.0 * n, lambda: world.lose_zones({"z0"}))
+        world.at(12_000.0 + 4_000.0 * n, lambda: world.restore_zones({"z0"}))
 
 
 def grey(world: PlanWorld) -> None:
@@ -565,13 +579,13 @@
 
     def on():
         world.slowed["z0"] = 10.0
-        for n, box in enumerate(one for one in world.boxes.values() if one.zone == "z0"):
-            box.hung = n % 2 == 0
+        for n, invoker in enumerate(one for one in world.invokers.values() if one.zone == "z0"):
+            invoker.hung = n % 2 == 0
 
     def off():
         world.slowed.pop("z0")
-        for box in world.boxes.values():
-            box.hung = False
+        for invoker in world.invokers.values():
+            invoker.hung = False
 
     world.at(10_000.0, on)
     world.at(40_000.0, off)
@@ -584,7 +598,7 @@
         world.grown.update(dict.fromkeys(world.topology.zones, factor))
 
     zone_lost(world)
-    world.at(15_000.0, lambda: more(1.2 / world.habits.load * (1 - 1 / len(world.topology.zones))))
+    world.at(15_000.0, lambda: more(1.2 / world.parameters.load * (1 - 1 / len(world.topology.zones))))
     world.at(30_000.0, lambda: more(1.0))
 
 
@@ -601,16 +615,16 @@
             world.join(f"c{n}", f"a{n}", f"z{n}", number=n, of=len(world.members) + 1)
 
     world.at(10_500.0, die)
-    world.at(11_000.0, lambda: world.lose({"z1"}))
+    world.at(11_000.0, lambda: world.lose_zones({"z1"}))
     world.at(25_000.0, come_back)
-    world.at(40_000.0, lambda: world.give_back({"z1"}))
+    world.at(40_000.0, lambda: world.restore_zones({"z1"}))
 
 
 def makers_held(world: PlanWorld) -> None:
     """They are stopped for 5 s and wake with an old lease."""
     zone_lost(world)
-    world.at(10_500.0, lambda: world.hold({"c0", "c1", "c2"}, True))
-    world.at(15_500.0, lambda: world.hold({"c0", "c1", "c2"}, False))
+    world.at(10_500.0, lambda: world.pause_controllers({"c0", "c1", "c2"}, True))
+    world.at(15_500.0, lambda: world.pause_controllers({"c0", "c1", "c2"}, False))
 
 
 def halves(world: PlanWorld) -> None:
@@ -619,12 +633,12 @@
     def side(n: int) -> set[str]:
         return {name for name, one in world.members.items() if int(one.about.zone[1:]) % 2 == n}
 
-    world.at(10_000.0, lambda: world.part([side(0), side(1)]))
+    world.at(10_000.0, lambda: world.partition([side(0), side(1)]))
     world.at(11_000.0, lambda: world.roster_down())
-    world.at(12_000.0, lambda: world.lose({"z1"}))
+    world.at(12_000.0, lambda: world.lose_zones({"z1"}))
     world.at(32_000.0, lambda: world.roster_down(False))
     world.at(32_000.0, lambda: world.heal())
-    world.at(40_000.0, lambda: world.give_back({"z1"}))
+    world.at(40_000.0, lambda: world.restore_zones({"z1"}))
 
 
 def clocks(world: PlanWorld) -> None:
@@ -641,8 +655,8 @@
 
     world.at(10_000.0, partial(die, "c0"))
     world.at(35_000.0, partial(die, "c1"))
-    world.at(50_000.0, lambda: world.lose({"z3"}))
-    world.at(60_000.0, lambda: world.give_back({"z3"}))
+    world.at(50_000.0, lambda: world.lose_zones({"z3"}))
+    world.at(60_000.0, lambda: world.restore_zones({"z3"}))
 
 
 def liar(world: PlanWorld) -> None:
@@ -650,7 +664,7 @@
 
     def lie():
         one = world.members["c6"]
-        world.parts[one].meter = LyingMeter(one.about.zone)
+        world.failover_states[one].meter = LyingMeter(one.about.zone)
 
     world.at(8_000.0, lie)
     zone_lost(world)
@@ -678,14 +692,14 @@
     decider: str,
     seed: int = 1,
     size: int = 60,
-    boxes: int = 36,
+    invokers: int = 36,
     span: float = 75_000.0,
     every: float = 1_000.0,
     bounds: judged.FailoverBounds | None = None,
     **more: Any,
 ) -> Came:
-    world = PlanWorld(size, boxes, seed, decider, **more)
-    world.looking(every)
+    world = PlanWorld(size, invokers, seed, decider, **more)
+    world.observe_every(every)
     CASES[case](world)
     world.run(span)
-    return world.came(bounds)
+    return world.result(bounds)
--- a/sprucespool/lab/coursedays.py
+++ b/sprucespool/lab/coursedays.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from sprucespool.emulator.hunt import VOTERS, Course, Fault, Found
-from sprucespool.emulator.plans import Habits
+from sprucespool.emulator.hunt import VOTERS, Course, Fault, CourseResult
+from sprucespool.emulator.plans import WorldParameters
 from sprucespool.gateway import Gateway
 from sprucespool.judge.group import BrokenInvariant
 from sprucespool.lab.days import play
@@ -29,7 +29,7 @@
     """Raises ValueError on a course that is too large for a day."""
     if course.controllers > MOST_CONTROLLERS:
         raise ValueError(f"controllers: expected at most {MOST_CONTROLLERS} in a day, got {course.controllers}")
-    habits, zones = Habits(), [f"z{n}" for n in range(course.zones)]
+    habits, zones = WorldParameters(), [f"z{n}" for n in range(course.zones)]
     run = sum(habits.run) / 2
     rate = habits.load * course.invokers * habits.cores / (run / 1000.0)
     last = max((fault.at + fault.lasts for fault in course.faults), default=0.0)
@@ -76,14 +76,14 @@
     )
 
 
-def played(course: Course) -> Found:
+def played(course: Course) -> CourseResult:
     """On the module, under the five rules besides. Raises ValueError on a build that the module's world has not."""
     if course.build not in MODULE_BUILDS:
         raise ValueError(f"build: expected one of {', '.join(MODULE_BUILDS)}, got {course.build!r}")
     decider = DECIDERS[course.build if course.build in DECIDERS else "hiku"]
     came = play(as_day(course), decider, None, GATEWAYS.get(course.build, Gateway))
     rules = [BrokenInvariant(f"rule {one.rule}", one.at, one.what) for one in came.broken]
-    return Found(course, rules + came.invariants, came.events)
+    return CourseResult(course, rules + came.invariants, came.events)
 
 
 def _others(course: Course, fault: Fault) -> str:
--- a/sprucespool/lab/days.py
+++ b/sprucespool/lab/days.py
@@ -86,13 +86,13 @@
     """A day's world at its first moment. Raises ValueError on a day that cannot be played so."""
     world = DayWorld(day, decider, controllers, gateway, **kinds)
     if day.group is not None:
-        world.looking(LOOK)
+        world.observe_every(LOOK)
     world.open_doors()
     return world
 
 
 def ended(world: DayWorld) -> Played:
-    """Play it from where it stands to its end, and judge it. Raises StandsStill."""
+    """Play it from where it stands to its end, and judge it. Raises TimeStalled."""
     world.run(world.day.lasts + AFTER - world.now)
     world.notes += world.bad_links.all_over(world.now)
     return _came(world)
--- a/sprucespool/lab/hunting.py
+++ b/sprucespool/lab/hunting.py
@@ -9,7 +9,7 @@
 from functools import partial
 from pathlib import Path
 
-from sprucespool.emulator.hunt import Course, Found, drawn, guided, play, shrunk
+from sprucespool.emulator.hunt import Course, CourseResult, guided_course, play, random_course, shrink
 from sprucespool.lab.coursedays import MOST_CONTROLLERS, as_day
 from sprucespool.lab.coursedays import played as played_as_day
 from sprucespool.lab.defects import BUILDS
@@ -23,12 +23,12 @@
     build: str
     tried: int
     seconds: float
-    first: Found | None = None
-    small: Found | None = None
+    first: CourseResult | None = None
+    small: CourseResult | None = None
     path: Path | None = None
 
 
-def played(course: Course, module: bool = False) -> Found:
+def played(course: Course, module: bool = False) -> CourseResult:
     """Of a build by its name: so that a course alone says all. `module`: as a day, on the module that decides."""
     if module:
         return played_as_day(course)
@@ -37,13 +37,13 @@
     return play(course, BUILDS[course.build])
 
 
-def _drawn(job: tuple[int, str, int, bool]) -> Found:
+def _drawn(job: tuple[int, str, int, bool]) -> CourseResult:
     """`most` 0: a guided course."""
     seed, build, most, module = job
-    return played(drawn(seed, most, build) if most else guided(seed, build), module)
+    return played(random_course(seed, most, build) if most else guided_course(seed, build), module)
 
 
-def found_in(build: str, seeds: range, most: int, workers: int, module: bool = False) -> Iterator[Found]:
+def found_in(build: str, seeds: range, most: int, workers: int, module: bool = False) -> Iterator[CourseResult]:
     """In order of seeds, whichever process ends first; `most` 0: guided courses instead of blind ones."""
     jobs = [(seed, build, most, module) for seed in seeds]
     if workers <= 1:
@@ -73,7 +73,7 @@
             if tried % 10 == 0:
                 progress(f"{build}: {tried} of {len(seeds)} courses, nothing broken")
             continue
-        hunted = Hunted(build, tried, time.monotonic() - begun, found, shrunk(found, partial(played, module=module)))
+        hunted = Hunted(build, tried, time.monotonic() - begun, found, shrink(found, partial(played, module=module)))
         if folder is not None and hunted.small is not None:
             folder.mkdir(parents=True, exist_ok=True)
             hunted.path = folder / f"{build}-{found.course.seed}.kdl"
@@ -84,13 +84,13 @@
     return Hunted(build, tried, time.monotonic() - begun)
 
 
-def written(found: Found) -> str:
+def written(found: CourseResult) -> str:
     """A course as a file, with what it breaks."""
     told = "".join(f"// ({one.which}) {one.what}\n" for one in found.broken[:5])
     return told + write(found.course)
 
 
-def as_a_day(found: Found) -> str:
+def as_a_day(found: CourseResult) -> str:
     """The same as a day's script, with what the course breaks."""
     told = "".join(f"// ({one.which}) {one.what}\n" for one in found.broken[:5])
     build = f"// Over sockets: sprucespool day --decider {found.course.build}\n" * (found.course.build != "sound")
--- a/sprucespool/lab/sweep.py
+++ b/sprucespool/lab/sweep.py
@@ -17,7 +17,7 @@
 
 from sprucespool.emulator import cases as fleet_cases
 from sprucespool.emulator import plans as failover_cases
-from sprucespool.emulator.group import Virtual
+from sprucespool.emulator.group import VirtualGroup
 from sprucespool.lab.days import play as play_day
 from sprucespool.lab.days import sized
 from sprucespool.settings import read, write
@@ -142,7 +142,7 @@
 
 def _fleet(job: Job) -> tuple[dict[str, float | None], list[str]]:
     came = fleet_cases.play(
-        job.case, job.controllers, job.invokers, job.seed, job.decider == "common", 1.0, look=2_000.0
+        job.case, job.controllers, job.invokers, job.seed, job.decider == "common", 1.0, observe_interval=2_000.0
     )
     figures = came.figures
     return {
@@ -156,7 +156,7 @@
 
 
 def _group(job: Job) -> tuple[dict[str, float | None], list[str]]:
-    world = Virtual(job.controllers, job.seed, loss=job.loss, settled=True)
+    world = VirtualGroup(job.controllers, job.seed, loss=job.loss, settled=True)
     world.run(5_000.0)
     said, begun = world.said, time.process_time()
     broken: list[str] = []
--- a/sprucespool/lab/world.py
+++ b/sprucespool/lab/world.py
@@ -18,9 +18,9 @@
 
 from sprucespool import interface as it
 from sprucespool.emulator import worker as wk
-from sprucespool.emulator.fleet import Box, status_of
+from sprucespool.emulator.fleet import VirtualInvoker, status_of
 from sprucespool.emulator.library import Fetch, Library, LibraryFacts
-from sprucespool.emulator.plans import Habits, PlanWorld
+from sprucespool.emulator.plans import WorldParameters, PlanWorld
 from sprucespool.faults import LinkState
 from sprucespool.fleet import Doubt, Place, Told
 from sprucespool.fleet.gateway_inputs import gateway_inputs
@@ -54,7 +54,7 @@
     """An invoker's process; another one may stand at its address later."""
 
     slot: Slot
-    box: Box
+    box: VirtualInvoker
     boot: str
     worker: wk.Worker
     numbers: int = 0
@@ -175,7 +175,7 @@
             "common" if told is not None else "today",
             len(day.zones),
             1,
-            Habits(1, cold_share=fleet.cold_share, warm_after=fleet.warm_after),
+            WorldParameters(1, cold_share=fleet.cold_share, warm_after=fleet.warm_after),
             voters=tuple(told.voters.split(",")) if told is not None else (),
             replace_after=told.replace_after if told is not None else 30_000.0,
             lag=day.roster.lag,
@@ -196,7 +196,7 @@
                 LinkState(distance.latency, distance.jitter),
             )
         for slot in self.plan.slots:
-            box = self.boxes[f"w{slot.number}"]
+            box = self.invokers[f"w{slot.number}"]
             box.born = -3.6e6
             self._stand(slot, box, False)
             self.rows[box.address] = self._row(box)
@@ -289,7 +289,7 @@
     def _take(self, one: Group, desk: _Desk):
         if self.desks.get(one) is not desk:
             return
-        if one.name in self.still:
+        if one.name in self.paused:
             return self._later(10.0, partial(self._take, one, desk))
         desk.taking = False
         inputs, desk.inputs = desk.inputs, []
@@ -303,21 +303,21 @@
 
     # The roster
 
-    def _row(self, box: Box, gone: bool = False) -> Told:
+    def _row(self, box: VirtualInvoker, gone: bool = False) -> Told:
         row = super()._row(box, gone)
         slot = self.plan.slots[int(box.name[1:])]
         return Told(
             row.process, row.listed, gone, box.zone, slot.machines.kind, slot.cell, float(slot.machines.cores), row.age
         )
 
-    def publish(self, box: Box, gone: bool = False) -> None:
+    def publish(self, box: VirtualInvoker, gone: bool = False) -> None:
         row = self._row(box, gone)
         due = self.now + self.lag * self.chance.uniform(0.7, 1.3) + self.extra
         # In order: who is gone is not listed again by what was on its way.
         self.listed_due = due = max(due, self.listed_due + 0.01)
         self._later(due - self.now, lambda: self._published(box, row))
 
-    def _published(self, box: Box, row: Told):
+    def _published(self, box: VirtualInvoker, row: Told):
         super()._published(box, row)
         self.copies.append((self.now, self.version, dict(self.rows)))
 
@@ -325,7 +325,7 @@
         desk = self.desks.get(one)
         if desk is None or not self._reaches(one):
             return
-        if one.name in self.still:
+        if one.name in self.paused:
             return self._later(50.0, lambda: self._tell(one, whole, version, rows, source))
         number = one.about.number
         for row in rows:
@@ -343,9 +343,9 @@
         self._give(one, ms.Roster((it.News.REPLACE if whole else it.News.UPDATE).value, version, told))
 
     def _break(self, one: Group):
-        was = one in self.minds and self.minds[one].connected
+        was = one in self.routing and self.routing[one].connected
         super()._break(one)
-        if was and not self.minds[one].connected and not self.views_kept:
+        if was and not self.routing[one].connected and not self.views_kept:
             self._give(one, ms.Roster(it.News.UNAVAILABLE.value))
 
     # Clients
@@ -383,7 +383,7 @@
             return self._unreached(tried, False)
         desk, plan = self.desks[one], tried.plan
         desk.tries[tried.id] = tried
-        if one.name in self.still:
+        if one.name in self.paused:
             # It waits in the socket.
             return self._later(10.0, partial(self._at_door, tried, sent, until))
         call = ms.Call(
@@ -400,7 +400,7 @@
             waited=max(0.0, self.now - sent - WAY.delay),
         )
         if self.day.failover is not None:
-            part, group = self.parts[one], self.model_groups[plan.group]
+            part, group = self.failover_states[one], self.model_groups[plan.group]
             now, bound = self._time(one), bool(group.stay) or plan.tenant in self.bound_tenants
             if not call.repeat:
                 part.meter.arrived(now, call.group, bound, call.work or group.slo_time / 4)
@@ -548,7 +548,7 @@
         out = desk.out.get(number) if desk is not None else None
         if desk is None or out is None:
             return
-        if one.name in self.still:
+        if one.name in self.paused:
             return self._later(10.0, lambda: self._forward_ends(one, number, outcome, process, job, **told))
         found = job.found.replace("-", " ") if job is not None and outcome in ("returned", "full") else "untold"
         tells = process is not None and job is not None and self.day.invokers.tells
@@ -577,7 +577,7 @@
             self.fleets[one].ended(now, number, outcome, boot, draining, age)
             self._fleet_do(one, [])
         if self.day.failover is not None and out.zone and outcome not in ("called off", "not sent"):
-            part = self.parts[one]
+            part = self.failover_states[one]
             part.steer.ended(now, out.zone, outcome in ("returned", "full", "miss", "error"))
             part.meter.ended(
                 now,
@@ -664,7 +664,7 @@
 
     # Invokers
 
-    def _stand(self, slot: Slot, box: Box, cold: bool) -> _Process:
+    def _stand(self, slot: Slot, box: VirtualInvoker, cold: bool) -> _Process:
         machines = slot.machines
         worker = wk.Worker(worker_facts(self.day, machines), self.catalog, self.now, cold=cold)
         process = _Process(slot, box, box.boot, worker)
@@ -679,11 +679,11 @@
                 self._later(0.0, partial(self._fault, slot.number, fault))
         return process
 
-    def start(self, box: Box) -> None:
+    def start(self, box: VirtualInvoker) -> None:
         super().start(box)
         self._stand(self.plan.slots[int(box.name[1:])], box, True)
 
-    def down(self, box: Box) -> None:
+    def down(self, box: VirtualInvoker) -> None:
         box.up = False
         process = self.processes[box.address]
         if not process.up:
@@ -870,9 +870,9 @@
     def _start_new(self, step: Step):
         """A cold process at an address of its own."""
         slot = self.plan.slots[step.target]
-        count = sum(box.name == f"i{slot.number}" for box in self.boxes.values())
-        box = Box(f"i{slot.number}", f"w{slot.number}+{count}", slot.zone, "", self.now, up=False)
-        self.boxes[box.address] = box
+        count = sum(box.name == f"i{slot.number}" for box in self.invokers.values())
+        box = VirtualInvoker(f"i{slot.number}", f"w{slot.number}+{count}", slot.zone, "", self.now, up=False)
+        self.invokers[box.address] = box
         self.start(box)
 
     def _kill_step(self, step: Step):
@@ -885,12 +885,12 @@
         name = f"c{step.target}"
         if name not in self.members:
             return
-        self.hold({name}, True)
+        self.pause_controllers({name}, True)
         self.changed()
         began = self.now
 
         def goes_on():
-            self.hold({name}, False)
+            self.pause_controllers({name}, False)
             self.note(seen.Stalled(began, step.target, self.now))
             self.changed()
 
@@ -920,7 +920,7 @@
         until = self.now + 15_000.0
 
         def ask():
-            for one, part in self.parts.items():
+            for one, part in self.failover_states.items():
                 if part.failover.council.leads(self._time(one)):
                     if not part.failover.drain(step.name, step.what == "drain-zone", False):
                         return
@@ -942,7 +942,7 @@
     def changed(self) -> None:
         """Links or who is held changed: for the judges, and for those whose connections broke."""
         sides, uneven = parted(self.links, (f"c{n}" for n in range(self.controllers)))
-        self.noted.append(Faulted(self.now, sides, sorted(self.still), uneven))
+        self.noted.append(Faulted(self.now, sides, sorted(self.paused), uneven))
         self.notes += self.bad_links.look(self.now, self.links, range(self.controllers), self.places)
         self.links_changed()
 
@@ -950,8 +950,8 @@
     def places(self) -> list[str]:
         return [f"i{slot.number}" for slot in self.plan.slots]
 
-    def look(self) -> None:
-        super().look()
+    def observe(self) -> None:
+        super().observe()
         self.note_members()
         if self.views_kept:
             self.note_views()
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -300,10 +300,10 @@
     assert one.learn(9_000.0, Renewal(plans[2], 2, 500.0)) and one.in_force(16_400.0) and not one.in_force(16_600.0)
 
 
-@pytest.mark.parametrize("more", [{}, {"asks": False, "spares": 1, "reseats": 1, "proposals": 0, "words": 10}])
+@pytest.mark.parametrize("more", [{}, {"asks": False, "spares": 1, "reseats": 1, "proposals": 0, "max_messages": 10}])
 def test_in_every_order_of_words_crashes_and_waits_a_term_has_one_leader_and_an_epoch_one_plan(more):
     found = explore(lambda: CouncilWorld(3, **more), 5)
-    assert found.whole and found.states > 3_000 and found.wrong == "", found
+    assert found.complete and found.states > 3_000 and found.violation == "", found
 
 
 WALK = st.lists(st.integers(0, 10_000), max_size=45)
@@ -312,11 +312,11 @@
 @settings(max_examples=250, deadline=None, derandomize=True, database=None)
 @given(st.sampled_from([3, 5]), st.sampled_from([0, 2]), WALK)
 def test_long_ways_of_chance_through_elections_come_to_nothing_wrong(voters, spares, picks):
-    world = CouncilWorld(voters, words=60, spares=spares, reseats=spares * 3)
+    world = CouncilWorld(voters, max_messages=60, spares=spares, reseats=spares * 3)
     for pick in picks:
         moves = list(world.moves())
         world.play(moves[pick % len(moves)])
-        assert world.wrong() == ""
+        assert world.violation() == ""
 
 
 class VotesTwice(Council):
@@ -369,7 +369,7 @@
         return CouncilWorld(3, kind, 12, keeps, False, crashes, proposals)
 
     found = explore(world, depth, 400_000)
-    assert found.wrong and len(found.way) <= depth, found
+    assert found.violation and len(found.path) <= depth, found
 
 
 # Who has a vote
@@ -473,9 +473,9 @@
     kind, script, voters
 ):
     for build in (Council, kind):
-        world = CouncilWorld(voters, build, words=200, spares=2, reseats=9, crashes=0)
+        world = CouncilWorld(voters, build, max_messages=200, spares=2, reseats=9, crashes=0)
         script(world)
-        assert ("lead in term" in world.wrong()) is (build is kind), (build, world.wrong())
+        assert ("lead in term" in world.violation()) is (build is kind), (build, world.violation())
 
 
 def test_one_that_lost_its_vote_hears_of_it_on_the_way_of_plans_and_waits_for_nothing():
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -460,7 +460,7 @@
 
 
 def test_300_controllers_with_the_roster_dark_see_the_same_again():
-    found = play("roster-dark", 300, 12, rate=0.3, bounds=BOUNDS, look=2_000.0)
+    found = play("roster-dark", 300, 12, rate=0.3, bounds=BOUNDS, observe_interval=2_000.0)
     assert found.broken == [] and found.alike is not None and found.alike < 10_000.0
 
 
--- a/tests/test_group_model.py
+++ b/tests/test_group_model.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from sprucespool.emulator.explore import explore
-from sprucespool.emulator.models import GroupWorld, SharesWorld, ViewWorld, of_kind
+from sprucespool.emulator.models import GroupWorld, SharesWorld, ViewWorld, world_factory
 from sprucespool.fleet import Fleet, Word, records
 from sprucespool.membership import Group, State, member_table
 from sprucespool.membership.rows import Row
@@ -16,24 +16,24 @@
 
 
 def test_updates_in_any_order_never_regress_and_converge():
-    found = explore(of_kind(GroupWorld), 4)
-    assert found.whole and found.states > 5_000 and found.wrong == "", found
+    found = explore(world_factory(GroupWorld), 4)
+    assert found.complete and found.states > 5_000 and found.violation == "", found
 
 
 @pytest.mark.parametrize(("of", "depth", "least"), [(2, 8, 100_000), (3, 5, 40_000)])
 def test_shares_never_exceed_the_total_in_any_order_of_leaves_starts_loans_and_losses(of, depth, least):
-    found = explore(of_kind(SharesWorld, of=of), depth)
-    assert found.whole and found.states > least and found.wrong == "", found
+    found = explore(world_factory(SharesWorld, of=of), depth)
+    assert found.complete and found.states > least and found.violation == "", found
 
 
 @settings(max_examples=150, deadline=None, derandomize=True, database=None)
 @given(st.integers(2, 4), st.lists(st.integers(0, 10_000), max_size=30))
 def test_long_random_paths_of_the_group_find_no_violation(members, picks):
-    world = GroupWorld(members, told=6)
+    world = GroupWorld(members, max_messages=6)
     for pick in picks:
         moves = list(world.moves())
         world.play(moves[pick % len(moves)])
-    assert world.wrong() == ""
+    assert world.violation() == ""
 
 
 @settings(max_examples=300, deadline=None, derandomize=True, database=None)
@@ -43,7 +43,7 @@
     for pick in picks:
         moves = list(world.moves())
         world.play(moves[pick % len(moves)])
-        assert world.wrong() == ""
+        assert world.violation() == ""
 
 
 class NeverRefutes(Group):
@@ -72,7 +72,7 @@
 
 @pytest.mark.parametrize("kind", [NeverRefutes, RefutesWithoutIncarnation, DeathIsFinal])
 def test_a_defect_in_refutation_is_found(kind):
-    assert explore(of_kind(GroupWorld, kind=kind), 4).wrong
+    assert explore(world_factory(GroupWorld, kind=kind), 4).violation
 
 
 def last_received(one: Row, other: Row) -> Row:
@@ -88,7 +88,7 @@
 @pytest.mark.parametrize("rule", [last_received, by_incarnation_alone])
 def test_a_merge_that_is_not_a_join_is_found(rule, monkeypatch):
     monkeypatch.setattr(member_table, "merge", rule)
-    assert explore(of_kind(GroupWorld), 4).wrong
+    assert explore(world_factory(GroupWorld), 4).violation
 
 
 class CountsFromReceipt(Shares):
@@ -161,8 +161,8 @@
                 world.play(move)
         return world
 
-    found = explore(started_world, 9, most=400_000)
-    assert found.wrong, found
+    found = explore(started_world, 9, max_states=400_000)
+    assert found.violation, found
 
 
 # The fleet's view
@@ -170,17 +170,17 @@
 
 def test_a_process_reported_as_ended_is_never_used_again_in_any_order():
     found = explore(lambda: ViewWorld(2), 6)
-    assert found.whole and found.states > 2_000 and found.wrong == "", found
+    assert found.complete and found.states > 2_000 and found.violation == "", found
 
 
 @settings(max_examples=150, deadline=None, derandomize=True, database=None)
 @given(st.integers(2, 4), st.lists(st.integers(0, 10_000), max_size=30))
 def test_long_random_paths_of_the_view_find_no_violation(controllers, picks):
-    world = ViewWorld(controllers, told=5)
+    world = ViewWorld(controllers, max_messages=5)
     for pick in picks:
         moves = list(world.moves())
         world.play(moves[pick % len(moves)])
-        assert world.wrong() == ""
+        assert world.violation() == ""
 
 
 class RevokesReports(Fleet):
@@ -207,7 +207,7 @@
 @pytest.mark.parametrize("kind", [Deaf, Clinging, RevokesReports, OldRosterWins])
 def test_a_defect_in_the_rules_of_the_view_is_found(kind):
     found = explore(lambda: ViewWorld(2, kind), 6)
-    assert found.wrong and len(found.way) <= 6, found
+    assert found.violation and len(found.path) <= 6, found
 
 
 def test_a_merge_where_the_last_one_wins_is_found(monkeypatch):
@@ -216,4 +216,4 @@
 
     monkeypatch.setattr("sprucespool.fleet.view.merged", last)
     monkeypatch.setattr("sprucespool.fleet.fleet.adds", lambda held, told: True)
-    assert explore(lambda: ViewWorld(2), 6).wrong
+    assert explore(lambda: ViewWorld(2), 6).violation
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -8,7 +8,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sprucespool.emulator.hunt import KINDS, KINDS_GUIDED, Course, Fault, Found, drawn, guided, play, shrunk
+from sprucespool.emulator.hunt import (
+    KINDS,
+    KINDS_GUIDED,
+    Course,
+    Fault,
+    CourseResult,
+    guided_course,
+    play,
+    random_course,
+    shrink,
+)
 from sprucespool.judge.group import BrokenInvariant
 from sprucespool.lab.coursedays import as_day
 from sprucespool.lab.hunting import hunt, opened, played
@@ -27,13 +37,13 @@
 
 
 def test_the_same_course_plays_the_same_and_the_sound_build_keeps_all_that_must_hold():
-    first, again, other = (play(drawn(seed), after=46_000.0) for seed in (8, 8, 3))
+    first, again, other = (play(random_course(seed), after=46_000.0) for seed in (8, 8, 3))
     assert first == again and first.events > 10_000 and other.events != first.events
     assert first.broken == [] and other.broken == []
 
 
 def test_courses_of_chance_are_over_in_time_and_of_every_kind():
-    courses = [drawn(seed) for seed in range(200)]
+    courses = [random_course(seed) for seed in range(200)]
     assert {fault.kind for course in courses for fault in course.faults} == set(KINDS)
     assert all(fault.at + fault.lasts <= 26_000.0 for course in courses for fault in course.faults)
     assert len({str(course.faults) for course in courses}) == 200
@@ -52,11 +62,11 @@
 
 def test_guided_courses_find_what_blind_ones_miss_and_the_sound_build_bears_them():
     """Ends that few controllers are told of; a leader by its own vote alone; a plan that nobody renews."""
-    assert "fleet c" in played(guided(1, "fleet-b")).which
-    assert "failover a" in played(guided(2, "council-minority")).which
-    assert "failover g" in played(guided(4, "council-endless")).which
-    assert all(played(guided(seed)).broken == [] for seed in (1, 2, 4))
-    assert all(fault.at + fault.lasts <= 26_000.0 for seed in range(100) for fault in guided(seed).faults)
+    assert "fleet c" in played(guided_course(1, "fleet-b")).which
+    assert "failover a" in played(guided_course(2, "council-minority")).which
+    assert "failover g" in played(guided_course(4, "council-endless")).which
+    assert all(played(guided_course(seed)).broken == [] for seed in (1, 2, 4))
+    assert all(fault.at + fault.lasts <= 26_000.0 for seed in range(100) for fault in guided_course(seed).faults)
 
 
 @settings(max_examples=100, deadline=None, derandomize=True, database=None)
@@ -69,9 +79,9 @@
 
     def again(course):
         there = {fault.at for fault in course.faults if fault.lasts >= least}
-        return Found(course, [BrokenInvariant("x", 0.0, "")] if wanted <= there else [])
+        return CourseResult(course, [BrokenInvariant("x", 0.0, "")] if wanted <= there else [])
 
-    small = shrunk(again(Course(faults=faults)), again)
+    small = shrink(again(Course(faults=faults)), again)
     assert {fault.at for fault in small.course.faults} == wanted and small.broken
     assert all(fault.lasts < 2 * max(least, 1_000.0) + 200.0 for fault in small.course.faults)
 
@@ -105,14 +115,14 @@
     span = command("hunt", "--seeds", "5-1")
     assert span.returncode == 2 and "expected FIRST-LAST" in span.stderr
     with pytest.raises(ValueError, match="build: expected one of sound"):
-        played(msgspec.structs.replace(drawn(1), build="oracle"))
+        played(msgspec.structs.replace(random_course(1), build="oracle"))
     (tmp_path / "file").write_text("")
     with pytest.raises(OSError):
         hunt("failover-e", range(1, 3), workers=1, folder=tmp_path / "file")
 
 
 def test_a_course_as_a_day_is_played_on_the_module_and_by_whoever_reads_it(tmp_path):
-    course = drawn(5)
+    course = random_course(5)
     day = as_day(course)
     assert read(Day, write(day), "day") == day and {one.kind for one in day.troubles} == {"hang", "controller-restart"}
     assert [one.what for one in day.troubles if one.at == day.troubles[-1].at] and day.lasts > 50_000.0
--- a/tests/test_lab_days.py
+++ b/tests/test_lab_days.py
@@ -15,7 +15,7 @@
 from test_days import DAYS, HEAD, SOUND, USERS
 from world import deployment, group
 
-from sprucespool.emulator.group import StandsStill
+from sprucespool.emulator.group import TimeStalled
 from sprucespool.gateway import Gateway
 from sprucespool.gateway import messages as ms
 from sprucespool.gateway.record import Recorder
@@ -76,13 +76,13 @@
 
 def test_time_that_stands_still_is_noticed_and_named(monkeypatch):
     world = begun(script(SOUND))
-    monkeypatch.setattr("sprucespool.emulator.group.MOST_AT_ONCE", 5_000)
+    monkeypatch.setattr("sprucespool.emulator.group.MAX_EVENTS_AT_ONE_INSTANT", 5_000)
 
     def again_and_again():
         world._later(0.0, again_and_again)
 
     world._later(1_000.0, again_and_again)
-    with pytest.raises(StandsStill, match="at 1000.000 ms: .*again_and_again"):
+    with pytest.raises(TimeStalled, match="at 1000.000 ms: .*again_and_again"):
         world.run(7_000.0)
 
 
@@ -371,7 +371,7 @@
         )
     )
     world.run(6_000.0)
-    trusts = [world.parts[world.members[name]].gauge.trust for name in ("c0", "c1", "c2")]
+    trusts = [world.failover_states[world.members[name]].gauge.trust for name in ("c0", "c1", "c2")]
     misses = sum(isinstance(one, seen.Went) and one.how == "missed" for one in world.notes)
     assert misses > 500 and all(trust >= 0.9 for told in trusts for trust in told.values())
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -8,7 +8,7 @@
 
 from sprucespool.daemon.failover import MORE_FIGURES
 from sprucespool.daemon.group import FIGURES
-from sprucespool.emulator.group import Virtual
+from sprucespool.emulator.group import VirtualGroup
 from sprucespool.faults import LinkState
 from sprucespool.judge import group as seen
 from sprucespool.membership import About, Codec, Event, Group, Message, MessageError, Row, State, merge
@@ -136,7 +136,7 @@
 # Cases in virtual time
 
 
-def history(virtual: Virtual, viewers: int = 24, every: float = 1_000.0):
+def history(virtual: VirtualGroup, viewers: int = 24, every: float = 1_000.0):
     """Record views for the judge from some members only: at 300 members all views would have 90,000 rows each time."""
     noted: list[seen.Happened] = [seen.Began(virtual.now, name) for name in virtual.members]
 
@@ -144,7 +144,7 @@
         chosen = sorted(virtual.members)[:: max(1, len(virtual.members) // viewers)]
         for name in chosen:
             one = virtual.members[name]
-            if name not in virtual.still:
+            if name not in virtual.paused:
                 rows = [one.me, *(held.row for held in one.table.records.values())]
                 noted.append(
                     seen.SeenView(
@@ -165,14 +165,14 @@
     return noted
 
 
-def verdict(virtual: Virtual, noted, **bounds) -> list[seen.BrokenInvariant]:
+def verdict(virtual: VirtualGroup, noted, **bounds) -> list[seen.BrokenInvariant]:
     """Broken invariants except (a), which needs views of all members; the callers check `alike` instead."""
     return [one for one in seen.check(noted, seen.Bounds(**bounds), virtual.now).broken if one.which != "a"]
 
 
 @pytest.mark.parametrize("size", [2, 3, 12, 60])
 def test_a_group_finds_all_its_members_and_notices_a_death(size):
-    virtual = Virtual(size)
+    virtual = VirtualGroup(size)
     settled_after = virtual.run(10_000, virtual.alike)
     assert settled_after is not None and settled_after < 3_000
     virtual.run(5_000)
@@ -182,7 +182,7 @@
 
 def test_message_loss_of_5_and_20_percent_declares_nobody_dead():
     for loss in (0.05, 0.2):
-        virtual = Virtual(60, seed=5, loss=loss, settled=True)
+        virtual = VirtualGroup(60, seed=5, loss=loss, settled=True)
         died = []
         virtual.watch = lambda member, event, died=died: died.append(event) if event.kind == "died" else None
         virtual.run(120_000)
@@ -193,7 +193,7 @@
 @pytest.mark.parametrize("size", [12, 300])
 @pytest.mark.parametrize("what", ["deaf", "mute"])
 def test_a_member_cut_off_one_way_is_declared_dead_once_and_accuses_nobody(size, what):
-    virtual = Virtual(size, seed=3, settled=True)
+    virtual = VirtualGroup(size, seed=3, settled=True)
     virtual.run(3_000)
     events: list[tuple[str, str, Event]] = []
     virtual.watch = lambda member, event: events.append((member.name, event.row.name if event.row else "", event))
@@ -208,7 +208,7 @@
 
 
 def test_three_partitions_of_300_with_joins_and_leaves_merge_again():
-    virtual = Virtual(300, seed=1, settled=True)
+    virtual = VirtualGroup(300, seed=1, settled=True)
     noted = history(virtual)
     virtual.run(3_000)
     names = sorted(virtual.members)
@@ -239,7 +239,7 @@
 
 
 def test_a_third_of_300_killed_at_once_is_noticed_and_nobody_else_declared_dead():
-    virtual = Virtual(300, seed=4, settled=True)
+    virtual = VirtualGroup(300, seed=4, settled=True)
     noted = history(virtual)
     virtual.run(3_000)
     for name in sorted(virtual.members)[::3]:
@@ -250,13 +250,13 @@
 
 
 def test_a_zone_of_300_suspended_for_ten_seconds_comes_back_without_false_deaths():
-    virtual = Virtual(300, seed=6, settled=True)
+    virtual = VirtualGroup(300, seed=6, settled=True)
     noted = history(virtual)
     virtual.run(3_000)
-    virtual.still = {name for name, one in virtual.members.items() if one.about.zone == "z1"}
-    noted.append(seen.Faulted(virtual.now, held=sorted(virtual.still)))
+    virtual.paused = {name for name, one in virtual.members.items() if one.about.zone == "z1"}
+    noted.append(seen.Faulted(virtual.now, held=sorted(virtual.paused)))
     virtual.run(10_000)
-    virtual.still = set()
+    virtual.paused = set()
     noted.append(seen.Faulted(virtual.now))
     assert virtual.run(15_000, virtual.alike) is not None
     virtual.run(5_000)
@@ -264,7 +264,7 @@
 
 
 def test_60_members_restarted_in_turn_then_at_once_with_stale_addresses():
-    virtual = Virtual(60, seed=7, settled=True)
+    virtual = VirtualGroup(60, seed=7, settled=True)
     noted = history(virtual)
     virtual.run(2_000)
     for n in range(0, 60, 2):
@@ -285,7 +285,7 @@
 
 
 def test_a_restart_in_place_is_a_new_process_for_all_at_once():
-    virtual = Virtual(60, seed=8, settled=True)
+    virtual = VirtualGroup(60, seed=8, settled=True)
     virtual.run(3_000)
     kinds = []
     virtual.watch = lambda member, event: kinds.append(event.kind)
@@ -304,7 +304,7 @@
 
 
 def test_a_leave_reaches_all_within_a_second_without_suspicion():
-    virtual = Virtual(300, seed=9, settled=True)
+    virtual = VirtualGroup(300, seed=9, settled=True)
     virtual.run(3_000)
     kinds = []
     virtual.watch = lambda member, event: kinds.append(event.kind)
@@ -316,7 +316,7 @@
 
 
 def test_duplicate_names_are_reported_and_a_reused_address_is_a_new_member():
-    virtual = Virtual(8, seed=2, settled=True)
+    virtual = VirtualGroup(8, seed=2, settled=True)
     virtual.run(2_000)
     kinds: list[tuple[str, str]] = []
     virtual.watch = lambda member, event: kinds.append((event.kind, event.row.name if event.row else ""))
@@ -341,7 +341,7 @@
 
 
 def test_one_good_seed_among_dead_and_wrong_ones_is_enough_to_join():
-    virtual = Virtual(20, seed=3, settled=True)
+    virtual = VirtualGroup(20, seed=3, settled=True)
     for name in ("c0", "c1", "c2"):
         virtual.kill(name)
     assert virtual.run(30_000, virtual.alike) is not None
@@ -353,7 +353,7 @@
 
 
 def test_clock_jumps_a_slow_member_and_a_flapping_link_declare_nobody_dead():
-    virtual = Virtual(60, seed=11, settled=True)
+    virtual = VirtualGroup(60, seed=11, settled=True)
     noted = history(virtual)
     virtual.run(3_000)
     virtual.slow["c7"] = 180.0
@@ -372,7 +372,7 @@
 
 
 def test_a_liar_with_high_incarnations_is_distrusted_and_declares_nobody_dead():
-    virtual = Virtual(60, seed=12, settled=True)
+    virtual = VirtualGroup(60, seed=12, settled=True)
     virtual.run(20_000)
     kinds: list[tuple[str, tuple[str, ...]]] = []
     virtual.watch = lambda member, event: kinds.append((event.kind, event.by)) if member.name != "c13" else None
@@ -390,7 +390,7 @@
 
 
 def test_replayed_messages_change_nothing():
-    virtual = Virtual(20, seed=13, settled=True)
+    virtual = VirtualGroup(20, seed=13, settled=True)
     past: list[tuple[str, str, Message]] = []
     post = virtual.post
     virtual.post = lambda source, to, message: (past.append((source, to, message)), post(source, to, message))[1]
@@ -408,7 +408,7 @@
 
 
 def test_figures_reach_all_in_time_and_are_not_part_of_digests():
-    virtual = Virtual(60, seed=15, settled=True)
+    virtual = VirtualGroup(60, seed=15, settled=True)
     virtual.run(5_000)
     marks = {name: (one.digest, tuple(one.table.marks)) for name, one in virtual.members.items()}
     owner = virtual.members["c7"]
@@ -429,7 +429,7 @@
 
 def test_too_many_figures_are_refused_by_their_owner_and_the_daemon_has_fewer():
     """With one figure too many, all members refused each other's rows, and the owner was never told."""
-    world = Virtual(3)
+    world = VirtualGroup(3)
     with pytest.raises(ValueError, match="16 figures at the most, got 17"):
         world.members["c0"].update_figures(0.0, (1.0,) * 17)
     row = replace(world.members["c0"].me, figures=(1.0,) * len((*FIGURES, *MORE_FIGURES)))
@@ -439,7 +439,7 @@
 
 
 def test_two_thousand_ended_members_use_bounded_memory_and_do_not_return():
-    virtual = Virtual(3, seed=14, settled=True)
+    virtual = VirtualGroup(3, seed=14, settled=True)
     one = virtual.members["c0"]
     for n in range(2_000):
         row = Row(f"x{n}", f"y{n}", 5, about=About("r", "z"))
