--- a/sprucespool/emulator/fleet.py
+++ b/sprucespool/emulator/fleet.py
@@ -102,7 +102,7 @@
         self.kind, self.fleet_limits, self.share, self.rate = kind, fleet_limits or FleetLimits(), share, rate
         self.liars, self.liar, self.lag, self.extra, self.grace = liars, liar, lag, 0.0, grace
         self.fleets: dict[Group, Fleet] = {}
-        self.routing: dict[Group, _Routing] = {}
+        self.routings: dict[Group, _Routing] = {}
         self.fleet_due: dict[Group, float] = {}
         self.numbers, self.boots = itertools.count(1), itertools.count(1)
         self.out: dict[int, tuple[Group, VirtualInvoker, str]] = {}
@@ -145,7 +145,7 @@
         one = super().join(name, address, zone, seeds, number, of)
         kind = self.liar if number < self.liars else self.kind
         fleet = kind((name, one.start), address, one.about.zone, self.seed * 7 + number, self.fleet_limits)
-        self.fleets[one], self.routing[one] = fleet, _Routing()
+        self.fleets[one], self.routings[one] = fleet, _Routing()
         self.noted.append(Began(self.now, name))
         self._later(self.chance.uniform(0, 100), lambda: self._fleet_tick(one))
         self._later(self.chance.expovariate(self.rate) * 1000, lambda: self._forward(one))
@@ -161,7 +161,7 @@
     def kill(self, name: str) -> Group:
         one = super().kill(name)
         self.noted.append(Ended(self.now, name, "killed"))
-        self.fleets.pop(one), self.routing.pop(one)
+        self.fleets.pop(one), self.routings.pop(one)
         self.fleet_due.pop(one, None)
         return one
 
@@ -207,7 +207,7 @@
             self._fleet_do(one, fleet.heard(now, self.fleet_codec.decode(now, data)))
 
     def _fleet_do(self, one: Group, sends: Iterable[Send]):
-        fleet, routing = self.fleets[one], self.routing[one]
+        fleet, routing = self.fleets[one], self.routings[one]
         if self.share:
             for send in sends:
                 self.post(one.name, send.to, (None, self._weighed(one, send.note)))
@@ -271,7 +271,7 @@
         elif not row.gone:
             self.rows[invoker.address] = row
         for one in list(self.members.values()):
-            if self.routing[one].connected and self._reaches(one):
+            if self.routings[one].connected and self._reaches(one):
                 version = self.version
                 # A stream keeps its order.
                 due = max(self.now + self.chance.uniform(1, 25), self.streams.get(one, 0.0) + 0.01)
@@ -298,17 +298,17 @@
             self._tell(self.members[name], True, version, rows)
 
     def _connect(self, one: Group):
-        if one not in self.routing or self.routing[one].connected:
+        if one not in self.routings or self.routings[one].connected:
             return
         if self._reaches(one):
-            self.routing[one].connected = True
+            self.routings[one].connected = True
             self._tell(one, True, self.version, list(self.rows.values()))
         else:
             self._later(self.chance.uniform(0.5, 1.5) * AGAIN, lambda: self._connect(one))
 
     def _break(self, one: Group):
-        if one in self.routing and self.routing[one].connected and not self._reaches(one):
-            self.routing[one].connected = False
+        if one in self.routings and self.routings[one].connected and not self._reaches(one):
+            self.routings[one].connected = False
             self.fleets[one].roster_lost(self._time(one))
             self._fleet_do(one, [])
             self._connect(one)
@@ -380,7 +380,7 @@
     # Forwards
 
     def _usable(self, one: Group) -> list[Place]:
-        routing = self.routing[one]
+        routing = self.routings[one]
         if routing.well is None:
             places = [place for place in routing.places.values() if place.status == "in service"]
             well = [place for place in places if place.address not in routing.doubted]
@@ -390,10 +390,10 @@
         return [place for place in routing.well if routing.aside.get(place.address, -1.0) <= self.now] or routing.well
 
     def _forward(self, one: Group):
-        if one not in self.routing:
+        if one not in self.routings:
             return
         self._later(self.chance.expovariate(self.rate) * 1000, lambda: self._forward(one))
-        if one.name in self.paused or not self.routing[one].places:
+        if one.name in self.paused or not self.routings[one].places:
             return
         usable = self._usable(one)
         if not usable:
@@ -450,7 +450,7 @@
         known = self.out.pop(number, None)
         if one not in self.fleets or known is None and outcome == "returned":
             return
-        figures, routing = self.figures, self.routing[one]
+        figures, routing = self.figures, self.routings[one]
         figures.returned += outcome == "returned"
         figures.refused += outcome in ("unconnected", "reset")
         figures.timed_out += outcome == "timed out"
--- a/sprucespool/emulator/group.py
+++ b/sprucespool/emulator/group.py
@@ -1,4 +1,7 @@
-"""A group of members in virtual time: loss, delay, partitions, deaths, stalls, clocks; deterministic from its seed."""
+"""A group of members in virtual time with message loss, delay, partitions, crashes, stalls and clock errors.
+
+Deterministic from its seed.
+"""
 
 from __future__ import annotations
 
@@ -13,20 +16,22 @@
 from sprucespool.membership import About, Codec, Event, Group, GroupLimits, Message, Outgoing
 
 CHECK_INTERVAL_MS = 100.0
-# Events at one instant; a whole fleet that starts at once has some thousands.
+# More events at one instant count as an endless loop; a whole fleet that starts at once causes some thousands.
 MAX_EVENTS_AT_ONE_INSTANT = 1_000_000
 
 
 class TimeStalled(RuntimeError):
-    """Time does not go on: something is due again and again at one instant."""
+    """Virtual time does not advance: an action is due again and again at one instant."""
 
-    def __init__(self, now: float, act: Callable[[], None]):
-        inner = getattr(act, "func", act)
-        super().__init__(f"time stands still at {now:.3f} ms: {getattr(inner, '__qualname__', inner)} comes up again")
+    def __init__(self, now: float, action: Callable[[], None]):
+        inner = getattr(action, "func", action)
+        super().__init__(
+            f"virtual time stopped at {now:.3f} ms: {getattr(inner, '__qualname__', inner)} is due again and again"
+        )
 
 
 class VirtualGroup:
-    """`members` by name are those that run now. `watch` sees each event with the member that had it."""
+    """`members` maps names to the running members. `watch` is called with each event and the member it occurred at."""
 
     def __init__(
         self,
@@ -53,7 +58,7 @@
         self.said = self.lost = self.bytes = self.weighed = 0
         self.codec = Codec("virtual", "mark")
         self.watch: Callable[[Group, Event], None] = lambda member, event: None
-        # A member's load and capacity, told as the daemon does with each tick.
+        # Returns a member's load and capacity, which it reports with each tick as in the daemon.
         self.load: Callable[[Group], tuple[float, ...]] | None = None
         self.zones = zones
         self.seeds = [f"a{n}" for n in range(min(seeds, size))]
@@ -73,11 +78,11 @@
         number: int = 0,
         of: int = 1,
     ) -> Group:
-        """A process starts, knowing nothing; on an address that was another's, if it was."""
+        """Starts a process that knows nothing yet; it may take over the address of an earlier one."""
         self.starts += 1
-        old = self.by_address.get(address)
-        if old is not None and self.members.get(old.name) is old:
-            del self.members[old.name]
+        previous = self.by_address.get(address)
+        if previous is not None and self.members.get(previous.name) is previous:
+            del self.members[previous.name]
         about = About("region", zone or self.zone_of(number), number, of)
         one = self.member(
             name,
@@ -95,7 +100,7 @@
         return one
 
     def zone_of(self, number: int) -> str:
-        """Of the controller, or the invoker, of that number."""
+        """Returns the zone of the controller, or the invoker, of that number."""
         return f"z{number % self.zones}"
 
     def restart(self, name: str, address: str | None = None) -> Group:
@@ -117,7 +122,7 @@
         self.kill(name)
 
     def settle(self) -> None:
-        """All know all, as a group does that ran for a while; quicker than playing its start."""
+        """Makes all members known to each other, as after a while of running; faster than simulating the start."""
         rows = [one.me for one in self.members.values()]
         for one in self.members.values():
             for row in rows:
@@ -126,13 +131,13 @@
             one.take_events()
             one._joins = 4
 
-    # The machinery
+    # Virtual time and messages
 
     def _time(self, one: Group) -> float:
         return self.now + self.clock.get(one.name, 0.0)
 
-    def _later(self, after: float, act: Callable[[], None]):
-        heapq.heappush(self.heap, (self.now + after, next(self.number), act))
+    def _later(self, after: float, action: Callable[[], None]):
+        heapq.heappush(self.heap, (self.now + after, next(self.number), action))
 
     def _running(self, one: Group) -> bool:
         return self.by_address.get(one.address) is one
@@ -150,52 +155,52 @@
 
     def _arm(self, one: Group):
         due = max(self.now + 1.0, one.due() - self.clock.get(one.name, 0.0))
-        # A clock that went back: the owner of a member looks again after a while all the same.
+        # If the member's clock was set back, it is checked again after a while all the same.
         due = min(due, self.now + 2 * self.limits.period)
         self.armed[one] = due
 
-        def act():
+        def tick_if_armed():
             if self.armed.get(one) == due:
                 self._tick(one)
 
-        self._later(due - self.now, act)
+        self._later(due - self.now, tick_if_armed)
 
     def _drain(self, one: Group):
         for event in one.take_events():
             self.watch(one, event)
 
-    def _send(self, one: Group, said: list[Outgoing]):
-        for say in said:
+    def _send(self, one: Group, messages: list[Outgoing]):
+        for outgoing in messages:
             self.said += 1
             if self.said % 50 == 0:
-                self.bytes += len(self.codec.encode(say.message))
+                self.bytes += len(self.codec.encode(outgoing.message))
                 self.weighed += 1
-            self.post(one.name, say.to, self._wrapped(one, say.message))
+            self.post(one.name, outgoing.to, self._wrapped(one, outgoing.message))
 
     def _wrapped(self, one: Group, message: Message) -> Any:
-        """What goes out for a member's message: more than it, where something rides on it."""
+        """Returns what is sent for a member's message; subclasses attach further data to it."""
         return message
 
     def _delivered(self, one: Group, message: Any):
         self._send(one, one.receive(self._time(one), message))
 
     def post(self, source: str, to: str, message: Any) -> None:
-        """Also for what no member says: replayed messages and made-up ones."""
+        """Sends a message over the simulated link; also used for replayed and invented messages."""
         target = self.by_address.get(to)
         state = self.links.between(source, target.name if target else to)
         if target is None or state.cut or state.loss and self.chance.random() < state.loss:
             self.lost += 1
             return
         after = state.delay + self.chance.random() * state.jitter + self.slow.get(target.name, 0.0)
-        self._later(after, lambda: self._heard(to, message))
+        self._later(after, lambda: self._receive(to, message))
 
-    def _heard(self, to: str, message: Any):
+    def _receive(self, to: str, message: Any):
         one = self.by_address.get(to)
         if one is None or not self._running(one):
             return
         if one.name in self.paused:
-            # It waits in the socket and is read when the process goes on.
-            return self._later(50.0, lambda: self._heard(to, message))
+            # The message waits in the socket until the process resumes.
+            return self._later(50.0, lambda: self._receive(to, message))
         before = one.due()
         self._delivered(one, message)
         self._drain(one)
@@ -203,35 +208,39 @@
             self._arm(one)
 
     def run(
-        self, span: float, until: Callable[[], bool] | None = None, every: float = CHECK_INTERVAL_MS
+        self, duration: float, until: Callable[[], bool] | None = None, every: float = CHECK_INTERVAL_MS
     ) -> float | None:
-        """Let time go on; gives after how many ms `until` held, or None. Raises TimeStalled."""
-        begun, end, looked, same = self.now, self.now + span, self.now, 0
+        """Advances time by `duration` ms. Stops once `until` holds and returns after how many ms; else returns None.
+
+        Raises TimeStalled."""
+        begun, end, checked_at, events_now = self.now, self.now + duration, self.now, 0
         while self.heap and self.heap[0][0] <= end:
-            at, _, act = heapq.heappop(self.heap)
-            same = same + 1 if at == self.now else 0
+            at, _, action = heapq.heappop(self.heap)
+            events_now = events_now + 1 if at == self.now else 0
             self.now = at
-            if same > MAX_EVENTS_AT_ONE_INSTANT:
-                raise TimeStalled(self.now, act)
-            act()
-            if until is not None and self.now - looked >= every:
-                looked = self.now
+            if events_now > MAX_EVENTS_AT_ONE_INSTANT:
+                raise TimeStalled(self.now, action)
+            action()
+            if until is not None and self.now - checked_at >= every:
+                checked_at = self.now
                 if until():
                     return self.now - begun
         self.now = end
         return None
 
-    # Looking
+    # Observation
 
     def alike(self, names: set[str] | None = None) -> bool:
-        """The members named, or all, see the same, and see each other and nobody else."""
+        """Whether the named members (or all) have equal views that contain exactly each other."""
         chosen = [one for name, one in self.members.items() if names is None or name in names]
         digests = {one.digest for one in chosen}
         return len(digests) == 1 and len(chosen[0].live()) == len(chosen)
 
     def all_hold_gone(self, name: str) -> bool:
+        """Whether no member sees `name` as live."""
         return all(row.name != name for one in self.members.values() for row in one.live())
 
-    def tell(self, name: str, **over) -> None:
+    def update_member(self, name: str, **changes) -> None:
+        """Changes what a member announces about itself."""
         one = self.members[name]
-        self._send(one, one.update_about(self._time(one), replace(one.about, **over)))
+        self._send(one, one.update_about(self._time(one), replace(one.about, **changes)))
--- a/sprucespool/emulator/plans.py
+++ b/sprucespool/emulator/plans.py
@@ -338,19 +338,19 @@
     # Inferences
 
     def _forward(self, one: Group):
-        if one not in self.routing:
+        if one not in self.routings:
             return
         rate = self.rate * self.grown.get(one.about.zone, 1.0)
         clients = self.clients.setdefault(one.name, random.Random(f"{self.seed} {one.name}"))
         self._later(clients.expovariate(rate) * 1000, lambda: self._forward(one))
         bound, work = clients.random() < self.parameters.stays, clients.uniform(*self.parameters.run)
-        if one.name in self.paused or not self.routing[one].places:
+        if one.name in self.paused or not self.routings[one].places:
             return
         self.failover_states[one].meter.arrived(self._time(one), GROUP, bound, sum(self.parameters.run) / 2)
         self._try(one, self._zones(one, bound), bound, work, self.now, 0)
 
     def _try(self, one: Group, zones: tuple[str, ...], bound: bool, work: float, since: float, nth: int):
-        if one not in self.routing:
+        if one not in self.routings:
             return
         home, own = one.about.zone, self.failover_states[one].own
         usable = [
@@ -446,7 +446,7 @@
         self.figures.returned += well
         self.figures.refused += outcome in ("unconnected", "reset")
         self.figures.timed_out += outcome == "timed out"
-        routing, invoker = self.routing[one], self.invokers[place.address]
+        routing, invoker = self.routings[one], self.invokers[place.address]
         if outcome == "full":
             # As the module does: no more there for about a run, by any of its inferences.
             self.fulls[place.address] = self.now + sum(self.parameters.run) / 4
--- a/sprucespool/emulator/solo.py
+++ b/sprucespool/emulator/solo.py
@@ -1,7 +1,7 @@
 """One gateway and a fleet of worker models in virtual time: deterministic from its seed, no socket, no clock.
 
-Enough to drive the decisions at sizes that no one machine shows over sockets. The rest of a tier of controllers is
-only told of (`deployment.controllers`); traffic is this controller's own.
+Drives the decisions at sizes that one machine cannot reach over sockets. Other controllers exist only as a number
+(`deployment.controllers`); the traffic is that of this controller alone.
 """
 
 from __future__ import annotations
@@ -20,12 +20,13 @@
 from sprucespool.gateway import messages as ms
 from sprucespool.policy import Controller
 
-ONE_WAY = 1.0
+# Delay of a message between the gateway, the invokers and the library.
+ONE_WAY_MS = 1.0
 
 
 @dataclass(slots=True)
 class Troubled:
-    """At `at` ms `what` befalls the invokers numbered `which` (crash, hang, crawl, replace, drain), for `lasts`."""
+    """A fault `what` (crash, hang, crawl, replace) of the invokers numbered `which`, from `at` for `lasts` (ms)."""
 
     at: float
     what: str
@@ -36,7 +37,7 @@
 
 @dataclass(slots=True)
 class SoloPlan:
-    """The size of a day. `rate` is inferences a second at this controller; ms else."""
+    """Size and traffic of a simulated day. `rate` is inferences per second at this controller; times are in ms."""
 
     invokers: int = 30
     models: int = 100
@@ -54,7 +55,7 @@
     leaves: float = 0.02
     groups: list[str] = field(default_factory=list)
     full_rosters_every: float = 0.0
-    # Inputs are held back and come in one batch: from, until.
+    # Intervals (from, until) in which inputs are held back; they then arrive in one batch.
     stalls: list[tuple[float, float]] = field(default_factory=list)
     troubles: list[Troubled] = field(default_factory=list)
     facts: wk.WorkerFacts = field(default_factory=lambda: wk.WorkerFacts(memory=8000.0, cores=4))
@@ -62,7 +63,7 @@
 
 @dataclass(slots=True, eq=False)
 class _Place:
-    """An invoker's process, or the next one at its address."""
+    """An address with the invoker process that currently runs there."""
 
     address: str
     row: ms.Row
@@ -70,7 +71,7 @@
     boots: int = 1
     up: bool = True
     hung_until: float = 0.0
-    looked_for: float = float("inf")
+    check_due_at: float = float("inf")
 
 
 @dataclass(slots=True, eq=False)
@@ -90,7 +91,7 @@
 
 
 class Solo:
-    """Run with `run()`. `on_batch(now, inputs)` sees what the gateway takes, before it does."""
+    """Started with `run()`. `on_batch(now, inputs)` is called with each batch before the gateway processes it."""
 
     def __init__(
         self,
@@ -102,13 +103,13 @@
         self.plan, self.deployment, self.on_batch = plan, deployment, on_batch
         self.now, self.number = 0.0, itertools.count()
         self.heap: list[tuple[float, int, Callable[[], None]]] = []
-        self.chance = random.Random(plan.seed)
+        self.random = random.Random(plan.seed)
         self.gateway = Gateway(deployment, plan.seed, self._effect, decider)
         self.inputs: list[ms.Input] = []
-        self.taking = False
+        self.batch_pending = False
         self.wake_at = float("inf")
-        self.out: dict[int, tuple[_Place, wk.Job]] = {}
-        self.asks: dict[int, _Place] = {}
+        self.in_flight: dict[int, tuple[_Place, wk.Job]] = {}
+        self.orders: dict[int, _Place] = {}
         self.sent: dict[str, float] = {}
         self.answers: dict[str, int] = {}
         self.times: list[float] = []
@@ -119,34 +120,34 @@
         self.by_address = {place.address: place for place in self.places}
         self.weights = list(itertools.accumulate(1.0 / (n + 1) ** plan.zipf for n in range(plan.models)))
 
-    # The machinery of virtual time
+    # Virtual time
 
-    def at(self, when: float, act: Callable[[], None]) -> None:
-        heapq.heappush(self.heap, (max(when, self.now), next(self.number), act))
+    def at(self, when: float, action: Callable[[], None]) -> None:
+        heapq.heappush(self.heap, (max(when, self.now), next(self.number), action))
 
     def run(self) -> None:
         plan = self.plan
-        self._tell(ms.Roster(it.News.RESTORED.value, 1, [place.row for place in self.places]))
-        self._arrival()
+        self._add_input(ms.Roster(it.News.RESTORED.value, 1, [place.row for place in self.places]))
+        self._schedule_arrival()
         for trouble in plan.troubles:
             for which in trouble.which:
-                self.at(trouble.at, lambda trouble=trouble, which=which: self._trouble(trouble, which))  # type: ignore
+                self.at(trouble.at, lambda trouble=trouble, which=which: self._begin_fault(trouble, which))  # type: ignore
         if plan.full_rosters_every:
-            self.at(plan.full_rosters_every, self._full_roster)
+            self.at(plan.full_rosters_every, self._send_full_roster)
         end = plan.lasts + 15_000.0
         while self.heap and self.heap[0][0] <= end:
-            self.now, _, act = heapq.heappop(self.heap)
-            act()
-
-    def _tell(self, given: ms.Input) -> None:
-        self.inputs.append(given)
-        if not self.taking:
-            self.taking = True
-            held = next((until for begin, until in self.plan.stalls if begin <= self.now < until), self.now)
-            self.at(held, self._take)
-
-    def _take(self):
-        self.taking = False
+            self.now, _, action = heapq.heappop(self.heap)
+            action()
+
+    def _add_input(self, item: ms.Input) -> None:
+        self.inputs.append(item)
+        if not self.batch_pending:
+            self.batch_pending = True
+            resumes_at = next((until for begin, until in self.plan.stalls if begin <= self.now < until), self.now)
+            self.at(resumes_at, self._take_batch)
+
+    def _take_batch(self):
+        self.batch_pending = False
         inputs, self.inputs = self.inputs, []
         if self.on_batch:
             self.on_batch(self.now, inputs)
@@ -154,28 +155,28 @@
 
     # Clients
 
-    def _arrival(self):
+    def _schedule_arrival(self):
         plan = self.plan
-        gap = self.chance.expovariate(plan.rate / 1000.0)
+        gap = self.random.expovariate(plan.rate / 1000.0)
         if self.now + gap >= plan.lasts:
             return
 
         def arrive():
             number = next(self.number)
-            if self.chance.random() < plan.one_off:
+            if self.random.random() < plan.one_off:
                 model = f"once-{number}"
             else:
-                model = f"m{bisect.bisect(self.weights, self.chance.random() * self.weights[-1])}"
+                model = f"m{bisect.bisect(self.weights, self.random.random() * self.weights[-1])}"
             groups = self.deployment.groups
-            group = groups[int(self.chance.random() * len(groups))]
-            ttl = group.route_timeout * self.chance.uniform(0.5, 1.0)
-            name = f"i{number}"
+            group = groups[int(self.random.random() * len(groups))]
+            ttl = group.route_timeout * self.random.uniform(0.5, 1.0)
+            call = f"i{number}"
             tenants = self.deployment.tenants
-            tenant = tenants[int(self.chance.random() * len(tenants))].name if tenants else ""
-            self.sent[name] = self.now
-            self._tell(
+            tenant = tenants[int(self.random.random() * len(tenants))].name if tenants else ""
+            self.sent[call] = self.now
+            self._add_input(
                 ms.Call(
-                    name,
+                    call,
                     group.name,
                     model,
                     ttl,
@@ -184,31 +185,31 @@
                     plan.memory,
                     plan.lanes,
                     600.0,
-                    self.chance.random() < plan.repeats,
+                    self.random.random() < plan.repeats,
                 )
             )
-            if self.chance.random() < plan.leaves:
-                self.at(self.now + ttl * 0.3, lambda: self._tell(ms.Left(name)) if name in self.sent else None)
-            self._arrival()
+            if self.random.random() < plan.leaves:
+                self.at(self.now + ttl * 0.3, lambda: self._add_input(ms.Left(call)) if call in self.sent else None)
+            self._schedule_arrival()
 
         self.at(self.now + gap, arrive)
 
     def _answered(self, call: str, how: str):
-        begun = self.sent.pop(call, None)
-        if begun is not None:
+        sent_at = self.sent.pop(call, None)
+        if sent_at is not None:
             self.answers[how] = self.answers.get(how, 0) + 1
             if how == "returned":
-                self.times.append(self.now - begun)
+                self.times.append(self.now - sent_at)
 
     # Effects
 
     def _effect(self, effect: ms.Effect):
         if isinstance(effect, ms.SendForward):
-            self.at(self.now + ONE_WAY, lambda: self._forward(effect))
+            self.at(self.now + ONE_WAY_MS, lambda: self._forward(effect))
         elif isinstance(effect, ms.Recall):
-            self.at(self.now + ONE_WAY, lambda: self._recall(effect.forward))
+            self.at(self.now + ONE_WAY_MS, lambda: self._recall(effect.forward))
         elif isinstance(effect, ms.SendOrder):
-            self.at(self.now + ONE_WAY, lambda: self._order(effect))
+            self.at(self.now + ONE_WAY_MS, lambda: self._order(effect))
         elif isinstance(effect, ms.WakeAt):
             self.wake_at = effect.at
             self.at(effect.at, self._wake)
@@ -218,31 +219,31 @@
     def _wake(self):
         if self.wake_at <= self.now:
             self.wake_at = float("inf")
-            self._tell(ms.Woke())
+            self._add_input(ms.Woke())
 
     def _forward(self, effect: ms.SendForward):
         place = self.by_address[effect.invoker]
         if not place.up:
-            self.at(self.now + ONE_WAY, lambda: self._tell(ms.ForwardEnded(effect.forward, "unconnected")))
+            self.at(self.now + ONE_WAY_MS, lambda: self._add_input(ms.ForwardEnded(effect.forward, "unconnected")))
             return
-        job = wk.Job(effect.forward, effect.model, self.plan.work * self.chance.uniform(0.5, 1.5))
-        self.out[effect.forward] = place, job
+        job = wk.Job(effect.forward, effect.model, self.plan.work * self.random.uniform(0.5, 1.5))
+        self.in_flight[effect.forward] = place, job
         if place.hung_until <= self.now:
             place.worker.arrive(self.now, job)
             self._after(place)
 
     def _recall(self, number: int):
-        found = self.out.pop(number, None)
-        if found is not None:
-            found[0].worker.cancel(self.now, found[1])
-            self._after(found[0])
+        forward = self.in_flight.pop(number, None)
+        if forward is not None:
+            forward[0].worker.cancel(self.now, forward[1])
+            self._after(forward[0])
 
     def _order(self, effect: ms.SendOrder):
         place = self.by_address[effect.invoker]
         if not place.up:
-            self.at(self.now + ONE_WAY, lambda: self._tell(ms.OrderEnded(effect.order, "unconnected")))
+            self.at(self.now + ONE_WAY_MS, lambda: self._add_input(ms.OrderEnded(effect.order, "unconnected")))
             return
-        self.asks[effect.order] = place
+        self.orders[effect.order] = place
         place.worker.order(self.now, wk.LoadOrder(effect.order, effect.model, effect.copies))
         self._after(place)
 
@@ -263,61 +264,61 @@
         return _Place(row.invoker, row, wk.Worker(facts, _AnyModel(info), 0.0, cold=False))
 
     def _after(self, place: _Place):
-        """Carry out what the worker's last step left."""
+        """Carries out the actions of the worker's last step and schedules the next one."""
         worker = place.worker
         while worker.actions:
-            acts, worker.actions = worker.actions, []
-            for act in acts:
-                self._act(place, act)
+            actions, worker.actions = worker.actions, []
+            for action in actions:
+                self._carry_out(place, action)
         due = worker.next_due()
-        if due < place.looked_for and place.up:
-            place.looked_for = due
-            self.at(due, lambda: self._look(place, worker))
+        if due < place.check_due_at and place.up:
+            place.check_due_at = due
+            self.at(due, lambda: self._advance_worker(place, worker))
 
-    def _look(self, place: _Place, worker: wk.Worker):
+    def _advance_worker(self, place: _Place, worker: wk.Worker):
         if place.worker is worker and place.up:
-            place.looked_for = float("inf")
+            place.check_due_at = float("inf")
             worker.advance(self.now)
             self._after(place)
 
-    def _act(self, place: _Place, act: wk.Action):
-        if isinstance(act, wk.FetchWanted):
+    def _carry_out(self, place: _Place, action: wk.Action):
+        if isinstance(action, wk.FetchWanted):
             done = self.library.advance(self.now)
-            fetch = Fetch(_Fetching(place, place.worker, act.load), act.load.info.fetch)
+            fetch = Fetch(_Fetching(place, place.worker, action.load), action.load.info.fetch)
             if not self.library.begin(fetch):
-                self.at(self.now + ONE_WAY, lambda: self._fetched(fetch, False))
+                self.at(self.now + ONE_WAY_MS, lambda: self._fetched(fetch, False))
             self._library_done(done)
             return
-        if isinstance(act, wk.Settled):
-            number = act.order.tag
-            if isinstance(number, int) and self.asks.pop(number, None) is not None:
-                outcome = "returned" if act.fulfilled else "full"
-                self._back(place, ms.OrderEnded(number, outcome, act.loaded_copies))
+        if isinstance(action, wk.Settled):
+            number = action.order.tag
+            if isinstance(number, int) and self.orders.pop(number, None) is not None:
+                outcome = "returned" if action.fulfilled else "full"
+                self._reply(place, ms.OrderEnded(number, outcome, action.loaded_copies))
             return
-        if isinstance(act, wk.Overloaded):
-            self._down(place)
+        if isinstance(action, wk.Overloaded):
+            self._stop_process(place)
             return
-        number = act.job.tag
+        number = action.job.tag
         assert isinstance(number, int)
-        if self.out.pop(number, None) is None:
+        if self.in_flight.pop(number, None) is None:
             return
-        found = act.job.found.replace("-", " ")
-        if isinstance(act, wk.Finished):
-            self._back(place, ms.ForwardEnded(number, "returned", found, False, min(30, act.job.same_model)))
-        elif isinstance(act, wk.Refused):
-            self._back(place, ms.ForwardEnded(number, "full", same_model=min(30, act.job.same_model)))
+        found = action.job.found.replace("-", " ")
+        if isinstance(action, wk.Finished):
+            self._reply(place, ms.ForwardEnded(number, "returned", found, False, min(30, action.job.same_model)))
+        elif isinstance(action, wk.Refused):
+            self._reply(place, ms.ForwardEnded(number, "full", same_model=min(30, action.job.same_model)))
         else:
-            self._back(place, ms.ForwardEnded(number, "miss", load_failed=act.load_failed))
+            self._reply(place, ms.ForwardEnded(number, "miss", load_failed=action.load_failed))
 
-    def _back(self, place: _Place, given: ms.Input):
-        self.at(max(self.now + ONE_WAY, place.hung_until), lambda: self._tell(given))
+    def _reply(self, place: _Place, item: ms.Input):
+        self.at(max(self.now + ONE_WAY_MS, place.hung_until), lambda: self._add_input(item))
 
     def _fetched(self, fetch: Fetch, ok: bool):
-        asked = fetch.tag
-        assert isinstance(asked, _Fetching)
-        if asked.place.worker is asked.worker and asked.place.up:
-            asked.worker.fetched(self.now, asked.load, ok)
-            self._after(asked.place)
+        fetching = fetch.tag
+        assert isinstance(fetching, _Fetching)
+        if fetching.place.worker is fetching.worker and fetching.place.up:
+            fetching.worker.fetched(self.now, fetching.load, ok)
+            self._after(fetching.place)
 
     def _library_done(self, done: Iterable[Fetch]):
         for fetch in done:
@@ -326,28 +327,28 @@
         if due < self.library_due or self.library_due <= self.now:
             self.library_due = due
             if due < float("inf"):
-                self.at(due, self._library_look)
+                self.at(due, self._advance_library)
 
-    def _library_look(self):
+    def _advance_library(self):
         self.library_due = float("inf")
         self._library_done(self.library.advance(self.now + 1e-6))
 
-    # Troubles
+    # Faults
 
-    def _down(self, place: _Place):
+    def _stop_process(self, place: _Place):
         place.up = False
-        for number, (other, _) in list(self.out.items()):
+        for number, (other, _) in list(self.in_flight.items()):
             if other is place:
-                del self.out[number]
-                self._back(place, ms.ForwardEnded(number, "reset"))
-        for number, other in list(self.asks.items()):
+                del self.in_flight[number]
+                self._reply(place, ms.ForwardEnded(number, "reset"))
+        for number, other in list(self.orders.items()):
             if other is place:
-                del self.asks[number]
-                self._back(place, ms.OrderEnded(number, "reset"))
+                del self.orders[number]
+                self._reply(place, ms.OrderEnded(number, "reset"))
 
-    def _up(self, place: _Place):
+    def _start_process(self, place: _Place):
         place.boots += 1
-        place.up, place.looked_for = True, float("inf")
+        place.up, place.check_due_at = True, float("inf")
         place.worker = wk.Worker(place.worker.facts, place.worker.catalog, self.now)
         place.row = ms.Row(
             place.row.invoker,
@@ -359,16 +360,16 @@
             f"{place.row.invoker}.{place.boots}",
             0.0,
         )
-        self._listed(place.row)
+        self._announce_row(place.row)
 
-    def _listed(self, row: ms.Row):
-        self.at(self.now + 500.0, lambda: self._tell(ms.Roster("update", 2, [row])))
+    def _announce_row(self, row: ms.Row):
+        self.at(self.now + 500.0, lambda: self._add_input(ms.Roster("update", 2, [row])))
 
-    def _trouble(self, trouble: Troubled, which: int):
+    def _begin_fault(self, trouble: Troubled, which: int):
         place = self.places[which % len(self.places)]
         if trouble.what in ("crash", "replace"):
             if trouble.what == "replace":
-                self._listed(
+                self._announce_row(
                     ms.Row(
                         place.address,
                         place.row.zone,
@@ -379,15 +380,15 @@
                         place.row.boot,
                     )
                 )
-            self.at(self.now + (800.0 if trouble.what == "replace" else 0.0), lambda: self._down(place))
-            self.at(self.now + trouble.lasts, lambda: self._up(place))
+            self.at(self.now + (800.0 if trouble.what == "replace" else 0.0), lambda: self._stop_process(place))
+            self.at(self.now + trouble.lasts, lambda: self._start_process(place))
         elif trouble.what == "hang":
             place.hung_until = self.now + trouble.lasts
         elif trouble.what == "crawl":
             place.worker.slowdown = trouble.factor
             self.at(self.now + trouble.lasts, lambda: setattr(place.worker, "slowdown", 1.0))
 
-    def _full_roster(self):
-        self._tell(ms.Roster("replace", 3, [place.row for place in self.places if place.up]))
+    def _send_full_roster(self):
+        self._add_input(ms.Roster("replace", 3, [place.row for place in self.places if place.up]))
         if self.now < self.plan.lasts:
-            self.at(self.now + self.plan.full_rosters_every, self._full_roster)
+            self.at(self.now + self.plan.full_rosters_every, self._send_full_roster)
--- a/sprucespool/lab/world.py
+++ b/sprucespool/lab/world.py
@@ -258,8 +258,8 @@
             super()._tick(one)
             self._shared(one)
 
-    def _heard(self, to: str, message: Any):
-        super()._heard(to, message)
+    def _receive(self, to: str, message: Any):
+        super()._receive(to, message)
         one = self.by_address.get(to)
         if one is not None:
             self._shared(one)
@@ -343,9 +343,9 @@
         self._give(one, ms.Roster((it.News.REPLACE if whole else it.News.UPDATE).value, version, told))
 
     def _break(self, one: Group):
-        was = one in self.routing and self.routing[one].connected
+        was = one in self.routings and self.routings[one].connected
         super()._break(one)
-        if was and not self.routing[one].connected and not self.views_kept:
+        if was and not self.routings[one].connected and not self.views_kept:
             self._give(one, ms.Roster(it.News.UNAVAILABLE.value))
 
     # Clients
