--- a/sprucespool/emulator/cases.py
+++ b/sprucespool/emulator/cases.py
@@ -162,7 +162,7 @@
         one = world.restart(name)
         # A snapshot of 30 s ago, at one in four; the others had none.
         world.fleets[one].restore(world._time(one), kept)
-        world._fleet_do(one, [])
+        world._carry_out(one, [])
     world.run(15_000)
     world.roster_down(False)
 
@@ -213,7 +213,7 @@
     rows = [world._row(invoker) for invoker in world.invokers.values()]
     # A tenth of the controllers hear it from the roster; the others' connections come back later.
     for name in sorted(world.members)[::10]:
-        world._tell(world.members[name], False, world.version, rows)
+        world._report_roster(world.members[name], False, world.version, rows)
     world.run(10_000)
 
 
--- a/sprucespool/emulator/fleet.py
+++ b/sprucespool/emulator/fleet.py
@@ -1,7 +1,8 @@
-"""Controllers with their view of the fleet in virtual time: a roster, invokers, forwards, faults; one seed, one course.
+"""Controllers with their views of the fleet in virtual time: a roster, invokers, forwards, faults.
 
-The objects that run in the daemon (`Group`, `Fleet`) over links that fail. Which invoker a forward goes to is chosen
-plainly (by chance among those in service that are not doubted): what is compared is what controllers know.
+Runs the classes of the daemon (`Group`, `Fleet`) over links that fail; deterministic from its seed. The invoker of a
+forward is simply chosen at random among those in service that are not suspected, since what is compared is what the
+controllers know.
 """
 
 from __future__ import annotations
@@ -22,13 +23,15 @@
 from sprucespool.membership import Group, GroupLimits, Message, Row, State
 from sprucespool.membership.messages import PRESENCE_KINDS
 
-# A roster connection that was cut is known to be by then; one that broke at once. Both are tried again.
-CUT_KNOWN, AGAIN = 4_000.0, 400.0
+# A silently cut roster connection is noticed after at most this time, a broken one at once; both are retried.
+CUT_NOTICED_WITHIN_MS, RECONNECT_DELAY_MS = 4_000.0, 400.0
 
 
 @dataclass(slots=True, eq=False)
 class VirtualInvoker:
-    """An invoker. `down_for` nobody: refuses connections. `hung`: takes forwards and answers none."""
+    """An invoker. Not `up`: refuses connections. `hung`: accepts forwards and answers none.
+
+    `tells`: whether its answers report its boot, age and drain."""
 
     name: str
     address: str
@@ -42,19 +45,19 @@
 
 
 def status_of(row: Told) -> str:
-    """As a roster tells it."""
+    """Returns the status as a roster reports it."""
     return "gone" if row.gone else STATUS[row.listed]
 
 
 @dataclass(slots=True)
 class Figures:
-    """What forwards met, by what the invoker was at the time."""
+    """Counts of forwards by their outcome, and of notes between controllers."""
 
     forwards: int = 0
     returned: int = 0
     refused: int = 0
     timed_out: int = 0
-    # To a process of which some controller in the group had been told, for longer than the grace, that it was over.
+    # Forwards to a process that had been reported as draining or gone to some controller for longer than the grace.
     to_ended: int = 0
     none_left: int = 0
     notes: int = 0
@@ -66,19 +69,19 @@
 
 @dataclass(slots=True, eq=False)
 class _Routing:
-    """What a controller goes by: places told, doubts told, and whom it set aside itself until when."""
+    """What a controller routes by: reported places, suspected invokers, invokers that it avoids itself until a time."""
 
     places: dict[str, Place] = field(default_factory=dict)
     doubted: set[str] = field(default_factory=set)
-    aside: dict[str, float] = field(default_factory=dict)
-    gap: dict[str, float] = field(default_factory=dict)
+    avoided_until: dict[str, float] = field(default_factory=dict)
+    backoff: dict[str, float] = field(default_factory=dict)
     connected: bool = False
-    # Those in service and not doubted; None when that changed.
-    well: list[Place] | None = None
+    # Places in service and not suspected; None once that has changed.
+    healthy: list[Place] | None = None
 
 
 class FleetWorld(VirtualGroup):
-    """`share`: whether the fleets' notes are carried; without, each is alone with its roster and its own eyes."""
+    """`share`: whether controllers exchange notes; without, each has only its roster and its own observations."""
 
     def __init__(
         self,
@@ -105,14 +108,14 @@
         self.routings: dict[Group, _Routing] = {}
         self.fleet_due: dict[Group, float] = {}
         self.numbers, self.boots = itertools.count(1), itertools.count(1)
-        self.out: dict[int, tuple[Group, VirtualInvoker, str]] = {}
+        self.in_flight: dict[int, tuple[Group, VirtualInvoker, str]] = {}
         self.figures = Figures()
         self.noted: list[seen.Happened] = []
         self.group_noted: list[group_seen.Happened] = []
-        self.told: dict[tuple[str, str], float] = {}
+        self.reported_over_at: dict[tuple[str, str], float] = {}
         self.version, self.roster_up = 0, True
         self.rows: dict[str, Told] = {}
-        # Names that the roster pushes to; None stands for all.
+        # Names of the controllers that the roster reaches; None stands for all.
         self.only: set[str] | None = None
         self.invokers: dict[str, VirtualInvoker] = {}
         self.fleet_codec = Codec("virtual", "mark")
@@ -182,13 +185,13 @@
     def _wrapped(self, one: Group, message: Message) -> Any:
         if not self.share or one not in self.fleets:
             return message
-        return message, self._weighed(one, self.fleets[one].cargo(self._time(one)))
+        return message, self._encoded_note(one, self.fleets[one].cargo(self._time(one)))
 
-    def _weighed(self, one: Group, note: Note) -> bytes:
-        """As bytes, so that events_by_controller travel as ages here too."""
+    def _encoded_note(self, one: Group, note: Note) -> bytes:
+        """Encodes a note as on the wire, so that times are sent as ages here too."""
         now = self._time(one)
         if self.encoded[0] is not note or self.encoded[1] != now:
-            # To several at once: the same bytes.
+            # A note that goes to several controllers at once is encoded once.
             self.encoded = note, now, self.fleet_codec.encode(now, note)
         data = self.encoded[2]
         self.figures.notes += 1
@@ -198,42 +201,42 @@
     def _delivered(self, one: Group, message: Any):
         if not isinstance(message, tuple):
             return super()._delivered(one, message)
-        said, data = message
-        if said is not None:
-            super()._delivered(one, said)
+        group_message, data = message
+        if group_message is not None:
+            super()._delivered(one, group_message)
         fleet = self.fleets.get(one)
         if fleet is not None and self.share:
             now = self._time(one)
-            self._fleet_do(one, fleet.heard(now, self.fleet_codec.decode(now, data)))
+            self._carry_out(one, fleet.heard(now, self.fleet_codec.decode(now, data)))
 
-    def _fleet_do(self, one: Group, sends: Iterable[Send]):
+    def _carry_out(self, one: Group, sends: Iterable[Send]):
         fleet, routing = self.fleets[one], self.routings[one]
         if self.share:
             for send in sends:
-                self.post(one.name, send.to, (None, self._weighed(one, send.note)))
+                self.post(one.name, send.to, (None, self._encoded_note(one, send.note)))
         for address in fleet.take_probes():
             self._later(self.chance.uniform(2, 24), partial(self._probed, one, address))
         places, doubts, events = fleet.take()
         for place in places:
             routing.places[place.address] = place
         if places or doubts:
-            routing.well = None
+            routing.healthy = None
         for doubt in doubts:
             (routing.doubted.add if doubt.ill else routing.doubted.discard)(doubt.address)
         self.events_by_controller += [(one.name, event) for event in events]
-        self._learned(one, places, doubts)
+        self._view_changed(one, places, doubts)
         due = max(self.now + 1.0, fleet.due() - self.clock.get(one.name, 0.0))
         if due < self.fleet_due.get(one, math.inf) or self.fleet_due.get(one, math.inf) <= self.now:
             self.fleet_due[one] = due
 
-            def act():
+            def tick_if_due():
                 if self.fleet_due.get(one) == due:
                     self._fleet_tick(one)
 
-            self._later(due - self.now, act)
+            self._later(due - self.now, tick_if_due)
 
-    def _learned(self, one: Group, places: list[Place], doubts: list[Doubt]):
-        """What the view told a controller's user just now."""
+    def _view_changed(self, one: Group, places: list[Place], doubts: list[Doubt]):
+        """Called with the changes that the view has just reported; for subclasses."""
 
     def _fleet_tick(self, one: Group):
         if one not in self.fleets:
@@ -241,7 +244,7 @@
         if one.name in self.paused:
             return self._later(50.0, lambda: self._fleet_tick(one))
         self.fleet_due.pop(one, None)
-        self._fleet_do(one, self.fleets[one].tick(self._time(one)))
+        self._carry_out(one, self.fleets[one].tick(self._time(one)))
 
     # The roster
 
@@ -258,7 +261,7 @@
         )
 
     def publish(self, invoker: VirtualInvoker, gone: bool = False) -> None:
-        """The roster hears of it at once; controllers later, by the lag."""
+        """Announces the invoker's state; the roster and the controllers learn of it after the roster's lag."""
         row = self._row(invoker, gone)
         after = self.lag * self.chance.uniform(0.7, 1.3) + self.extra
         self._later(after, lambda: self._published(invoker, row))
@@ -273,63 +276,63 @@
         for one in list(self.members.values()):
             if self.routings[one].connected and self._reaches(one):
                 version = self.version
-                # A stream keeps its order.
+                # A roster stream keeps its order.
                 due = max(self.now + self.chance.uniform(1, 25), self.streams.get(one, 0.0) + 0.01)
                 self.streams[one] = due
-                self._later(due - self.now, partial(self._tell, one, False, version, [row]))
+                self._later(due - self.now, partial(self._report_roster, one, False, version, [row]))
 
-    def _tell(self, one: Group, whole: bool, version: int, rows: list[Told], source: str = "roster"):
+    def _report_roster(self, one: Group, whole: bool, version: int, rows: list[Told], source: str = "roster"):
         fleet = self.fleets.get(one)
         if fleet is None:
             return
         if one.name in self.paused:
-            return self._later(50.0, lambda: self._tell(one, whole, version, rows, source))
+            return self._later(50.0, lambda: self._report_roster(one, whole, version, rows, source))
         for row in rows:
             status = status_of(row)
             self.noted.append(seen.WasTold(self.now, one.name, *row.process, status))
             if status != "in service":
-                self.told.setdefault(row.process, self.now)
+                self.reported_over_at.setdefault(row.process, self.now)
         fleet.roster(self._time(one), whole, source, version, rows)
-        self._fleet_do(one, [])
+        self._carry_out(one, [])
 
     def old_copy(self, names: Iterable[str], version: int, rows: list[Told]) -> None:
-        """A roster restored from an old copy tells these its whole list."""
+        """A roster restored from an old copy sends these controllers its full list."""
         for name in names:
-            self._tell(self.members[name], True, version, rows)
+            self._report_roster(self.members[name], True, version, rows)
 
     def _connect(self, one: Group):
         if one not in self.routings or self.routings[one].connected:
             return
         if self._reaches(one):
             self.routings[one].connected = True
-            self._tell(one, True, self.version, list(self.rows.values()))
+            self._report_roster(one, True, self.version, list(self.rows.values()))
         else:
-            self._later(self.chance.uniform(0.5, 1.5) * AGAIN, lambda: self._connect(one))
+            self._later(self.chance.uniform(0.5, 1.5) * RECONNECT_DELAY_MS, lambda: self._connect(one))
 
-    def _break(self, one: Group):
+    def _check_roster_link(self, one: Group):
         if one in self.routings and self.routings[one].connected and not self._reaches(one):
             self.routings[one].connected = False
             self.fleets[one].roster_lost(self._time(one))
-            self._fleet_do(one, [])
+            self._carry_out(one, [])
             self._connect(one)
 
     def roster_down(self, down: bool = True) -> None:
         self.roster_up = not down
         for one in list(self.members.values()) if down else ():
-            self._later(self.chance.uniform(1, 50), partial(self._break, one))
+            self._later(self.chance.uniform(1, 50), partial(self._check_roster_link, one))
 
     def faulted(self, sides: list[list[str]] | None = None, uneven: bool = False) -> None:
-        """Links changed: the judge hears of it, broken roster connections are found out."""
+        """Links changed: notes it for the judge; broken roster connections are noticed later."""
         self.noted.append(Faulted(self.now, sides or [], [], uneven))
         self.links_changed()
 
     def links_changed(self) -> None:
-        """Broken roster connections are found out after a while."""
+        """Broken roster connections are noticed after a while."""
         for one in list(self.members.values()):
-            self._later(CUT_KNOWN * self.chance.uniform(0.5, 1.0), partial(self._break, one))
+            self._later(CUT_NOTICED_WITHIN_MS * self.chance.uniform(0.5, 1.0), partial(self._check_roster_link, one))
 
     def partition(self, sides: list[set[str]]) -> None:
-        """Controllers and the roster in parts that do not reach each other; invokers are reached by all."""
+        """Splits controllers and roster into sides that do not reach each other; all still reach the invokers."""
         self.links.partition("partition", sides)
         names = set(self.members)
         self.faulted([sorted(side & names) for side in sides if side & names])
@@ -347,16 +350,16 @@
 
     def down(self, invoker: VirtualInvoker) -> None:
         invoker.up = False
-        for number, (one, other, _) in list(self.out.items()):
+        for number, (one, other, _) in list(self.in_flight.items()):
             if other is invoker:
-                del self.out[number]
+                del self.in_flight[number]
                 self._later(
                     self.chance.uniform(1, 25),
-                    partial(self._back, one, number, "reset", invoker.address, "", False, None),
+                    partial(self._forward_ended, one, number, "reset", invoker.address, "", False, None),
                 )
 
     def start(self, invoker: VirtualInvoker) -> None:
-        """Another process in its place."""
+        """Starts another process at the same address."""
         invoker.boot, invoker.born, invoker.up, invoker.draining, invoker.hung = (
             f"b{next(self.boots)}",
             self.now,
@@ -368,7 +371,7 @@
         self.publish(invoker)
 
     def replace(self, invoker: VirtualInvoker, drain: float = 1_500.0, empty: float = 300.0) -> None:
-        """Told to drain, ends after `drain`, another stands there `empty` later."""
+        """Drains the invoker, ends it after `drain`, and starts another process there `empty` later."""
         self.drain(invoker)
 
         def ends():
@@ -381,13 +384,15 @@
 
     def _usable(self, one: Group) -> list[Place]:
         routing = self.routings[one]
-        if routing.well is None:
+        if routing.healthy is None:
             places = [place for place in routing.places.values() if place.status == "in service"]
-            well = [place for place in places if place.address not in routing.doubted]
-            routing.well = well if len(well) * 2 >= len(places) else places
-        if not routing.aside:
-            return routing.well
-        return [place for place in routing.well if routing.aside.get(place.address, -1.0) <= self.now] or routing.well
+            healthy = [place for place in places if place.address not in routing.doubted]
+            routing.healthy = healthy if len(healthy) * 2 >= len(places) else places
+        if not routing.avoided_until:
+            return routing.healthy
+        return [
+            place for place in routing.healthy if routing.avoided_until.get(place.address, -1.0) <= self.now
+        ] or routing.healthy
 
     def _forward(self, one: Group):
         if one not in self.routings:
@@ -406,29 +411,33 @@
         self.fleets[one].sent(self._time(one), number, place.address)
         delay = self.chance.uniform(1, 12)
         if invoker is None:
-            return self._later(delay, lambda: self._back(one, number, "unconnected", place.address, "", False, None))
-        self.out[number] = one, invoker, invoker.boot
+            return self._later(
+                delay, lambda: self._forward_ended(one, number, "unconnected", place.address, "", False, None)
+            )
+        self.in_flight[number] = one, invoker, invoker.boot
         self._later(delay, lambda: self._arrive(one, number, invoker, place))
 
     def _arrive(self, one: Group, number: int, invoker: VirtualInvoker, place: Place):
-        if number not in self.out:
+        if number not in self.in_flight:
             return
         cut = self.links.between(one.name, invoker.name).cut or self.links.between(invoker.name, one.name).cut
         if not cut:
             self.noted.append(
                 seen.Reached(self.now, one.name, invoker.address, invoker.boot if invoker.up else place.boot)
             )
-        told = self.told.get((invoker.address, invoker.boot if invoker.up else place.boot))
-        self.figures.to_ended += told is not None and self.now > told + self.grace
+        over_at = self.reported_over_at.get((invoker.address, invoker.boot if invoker.up else place.boot))
+        self.figures.to_ended += over_at is not None and self.now > over_at + self.grace
         if cut or invoker.hung and invoker.up:
-            self._later(2_500.0, lambda: self._back(one, number, "timed out", invoker.address, "", False, None))
+            self._later(
+                2_500.0, lambda: self._forward_ended(one, number, "timed out", invoker.address, "", False, None)
+            )
         elif not invoker.up:
-            self._later(5.0, lambda: self._back(one, number, "unconnected", invoker.address, "", False, None))
+            self._later(5.0, lambda: self._forward_ended(one, number, "unconnected", invoker.address, "", False, None))
         else:
             boot, age = (invoker.boot, self.now - invoker.born) if invoker.tells else ("", None)
             self._later(
                 self.chance.uniform(40, 160),
-                lambda: self._back(
+                lambda: self._forward_ended(
                     one, number, "returned", invoker.address, boot, invoker.tells and invoker.draining, age
                 ),
             )
@@ -444,10 +453,12 @@
             and not (self.links.between(one.name, invoker.name).cut)
         ):
             self.fleets[one].probed(self._time(one), address, invoker.boot, invoker.draining, self.now - invoker.born)
-            self._fleet_do(one, [])
+            self._carry_out(one, [])
 
-    def _back(self, one: Group, number: int, outcome: str, address: str, boot: str, draining: bool, age: float | None):
-        known = self.out.pop(number, None)
+    def _forward_ended(
+        self, one: Group, number: int, outcome: str, address: str, boot: str, draining: bool, age: float | None
+    ):
+        known = self.in_flight.pop(number, None)
         if one not in self.fleets or known is None and outcome == "returned":
             return
         figures, routing = self.figures, self.routings[one]
@@ -455,15 +466,15 @@
         figures.refused += outcome in ("unconnected", "reset")
         figures.timed_out += outcome == "timed out"
         if outcome == "returned":
-            routing.aside.pop(address, None)
-            routing.gap.pop(address, None)
+            routing.avoided_until.pop(address, None)
+            routing.backoff.pop(address, None)
         elif outcome in ("unconnected", "timed out"):
-            gap = routing.gap[address] = min(8_000.0, 2 * routing.gap.get(address, 500.0))
-            routing.aside[address] = self.now + gap
+            backoff = routing.backoff[address] = min(8_000.0, 2 * routing.backoff.get(address, 500.0))
+            routing.avoided_until[address] = self.now + backoff
         self.fleets[one].ended(self._time(one), number, outcome, boot, draining, age)
-        self._fleet_do(one, [])
+        self._carry_out(one, [])
 
-    # Looking
+    # Observation
 
     def fleet_alike(self, names: set[str] | None = None) -> bool:
         return (
@@ -471,14 +482,14 @@
         )
 
     def observe(self) -> None:
-        """Note all views for the judge, and how much of the fleet they leave to choose from."""
+        """Notes all views for the judge, and the fraction of the fleet that controllers may choose from."""
         serving = {
             invoker.address
             for invoker in self.invokers.values()
             if invoker.up and not invoker.draining and not invoker.hung
         }
-        open_to = [len({place.address for place in self._usable(one)} & serving) for one in self.members.values()]
-        self.usable.append(sum(open_to) / max(1, len(open_to) * len(serving)))
+        usable_counts = [len({place.address for place in self._usable(one)} & serving) for one in self.members.values()]
+        self.usable.append(sum(usable_counts) / max(1, len(usable_counts) * len(serving)))
         self.note_views()
 
     def note_views(self) -> None:
@@ -494,7 +505,7 @@
             )
 
     def note_members(self) -> None:
-        """How all that run see the group, for its judge."""
+        """Notes how all running members see the group, for its judge."""
         for name, one in self.members.items():
             if name in self.paused:
                 continue
@@ -505,14 +516,14 @@
             )
 
     def _seen_row(self, row: Row) -> group_seen.SeenRow:
-        """Once for a row, which hundreds hold: 300 members that are looked at have 90,000 between them."""
+        """Creates an object once for a row that hundreds hold: 300 observed members have 90,000 rows between them."""
         content = row.name, row.start, row.state, row.incarnation, row.version
-        found = self.seen_rows.get(content)
-        if found is None:
-            found = self.seen_rows[content] = group_seen.SeenRow(
+        seen_row = self.seen_rows.get(content)
+        if seen_row is None:
+            seen_row = self.seen_rows[content] = group_seen.SeenRow(
                 row.name, row.start, row.state.name.lower(), row.incarnation, row.version
             )
-        return found
+        return seen_row
 
     def group_verdict(self, bounds: group_seen.Bounds) -> group_seen.Verdict:
         return group_seen.check(
@@ -529,6 +540,7 @@
         )
 
     def observe_every(self, every: float) -> None:
+        """Observes now and then every `every` ms."""
         self.observe()
         self._later(every, lambda: self.observe_every(every))
 
--- a/sprucespool/emulator/plans.py
+++ b/sprucespool/emulator/plans.py
@@ -376,7 +376,7 @@
         way = self.chance.uniform(least_way, most_way)
         then = partial(self._ended, one, number, place, bound, work, since, nth, zones)
         if invoker is not None:
-            self.out[number] = one, invoker, invoker.boot
+            self.in_flight[number] = one, invoker, invoker.boot
             self._later(way, lambda: self._at_invoker(one, number, invoker, bound, work, nth, way, then))
 
     def _speed(self, invoker: VirtualInvoker) -> float:
@@ -396,7 +396,7 @@
         way: float,
         then: Callable[[str, float], None],
     ):
-        if number not in self.out:
+        if number not in self.in_flight:
             return then("reset", 0.0)
         if (
             self.links.between(one.name, invoker.name).cut
@@ -434,8 +434,8 @@
         outcome: str,
         ran: float,
     ):
-        if number in self.out:
-            del self.out[number]
+        if number in self.in_flight:
+            del self.in_flight[number]
         elif outcome == "returned":
             outcome = "reset"
         part = self.failover_states.get(one)
@@ -451,18 +451,18 @@
             # As the module does: no more there for about a run, by any of its inferences.
             self.fulls[place.address] = self.now + sum(self.parameters.run) / 4
         if well or outcome == "full":
-            routing.aside.pop(place.address, None)
-            routing.gap.pop(place.address, None)
+            routing.avoided_until.pop(place.address, None)
+            routing.backoff.pop(place.address, None)
         else:
-            gap = routing.gap[place.address] = min(8_000.0, 2 * routing.gap.get(place.address, 500.0))
-            routing.aside[place.address] = self.now + gap
+            backoff = routing.backoff[place.address] = min(8_000.0, 2 * routing.backoff.get(place.address, 500.0))
+            routing.avoided_until[place.address] = self.now + backoff
         self.fleets[one].ended(
             now,
             number,
             outcome,
             *((invoker.boot, invoker.draining, self.now - invoker.born) if well else ("", False, None)),
         )
-        self._fleet_do(one, [])
+        self._carry_out(one, [])
         part.steer.ended(now, place.zone, well or outcome == "full")
         part.meter.ended(now, GROUP, place.zone, self.now - since, "returned" if well else "timed out", True, SLO)
         if well:
--- a/sprucespool/lab/world.py
+++ b/sprucespool/lab/world.py
@@ -295,7 +295,7 @@
         inputs, desk.inputs = desk.inputs, []
         desk.gateway.take(self._time(one), inputs)
 
-    def _learned(self, one: Group, places: list[Place], doubts: list[Doubt]):
+    def _view_changed(self, one: Group, places: list[Place], doubts: list[Doubt]):
         if not self.views_kept:
             return
         for given in gateway_inputs(places, doubts, self.fleets[one].version, self._time(one)):
@@ -321,12 +321,12 @@
         super()._published(box, row)
         self.copies.append((self.now, self.version, dict(self.rows)))
 
-    def _tell(self, one: Group, whole: bool, version: int, rows: list[Told], source: str = "roster"):
+    def _report_roster(self, one: Group, whole: bool, version: int, rows: list[Told], source: str = "roster"):
         desk = self.desks.get(one)
         if desk is None or not self._reaches(one):
             return
         if one.name in self.paused:
-            return self._later(50.0, lambda: self._tell(one, whole, version, rows, source))
+            return self._later(50.0, lambda: self._report_roster(one, whole, version, rows, source))
         number = one.about.number
         for row in rows:
             self.note(seen.Told(self.now, number, *row.process, status_of(row)))
@@ -335,16 +335,16 @@
                 self.note(seen.Told(self.now, number, address, "", "gone"))
         desk.ever |= {row.process[0] for row in rows}
         if self.views_kept:
-            return super()._tell(one, whole, version, rows, source)
+            return super()._report_roster(one, whole, version, rows, source)
         told = [
             ms.Row(row.process[0], row.zone, row.kind, row.cell, status_of(row), row.size, row.process[1], row.age)
             for row in rows
         ]
         self._give(one, ms.Roster((it.News.REPLACE if whole else it.News.UPDATE).value, version, told))
 
-    def _break(self, one: Group):
+    def _check_roster_link(self, one: Group):
         was = one in self.routings and self.routings[one].connected
-        super()._break(one)
+        super()._check_roster_link(one)
         if was and not self.routings[one].connected and not self.views_kept:
             self._give(one, ms.Roster(it.News.UNAVAILABLE.value))
 
@@ -575,7 +575,7 @@
         now = self._time(one)
         if self.views_kept:
             self.fleets[one].ended(now, number, outcome, boot, draining, age)
-            self._fleet_do(one, [])
+            self._carry_out(one, [])
         if self.day.failover is not None and out.zone and outcome not in ("called off", "not sent"):
             part = self.failover_states[one]
             part.steer.ended(now, out.zone, outcome in ("returned", "full", "miss", "error"))
