--- a/sprucespool/emulator/__init__.py
+++ b/sprucespool/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Outside systems as plain models in virtual time: no socket, no clock. Stand-in processes drive the same objects."""
+"""Models of outside systems in virtual time, without sockets or clocks. Stand-in processes use the same models."""
--- a/sprucespool/emulator/explore.py
+++ b/sprucespool/emulator/explore.py
@@ -1,6 +1,7 @@
-"""Explicit-state exploration: every order of what may happen, to a depth, on the very objects that run.
+"""Explicit-state exploration: every order of possible moves, to a depth, on the production classes.
 
-A state is reached by playing its moves from the start: objects need no copying, and a broken state comes with its path.
+A state is reached by playing its moves from the start. Objects therefore need no copying, and a violation comes with
+the path to it.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 
 class World(Protocol):
-    """`violation` names what must not be, or is empty. A move is plain data."""
+    """A model to explore. `violation` describes a broken invariant, or is empty. A move is plain data."""
 
     def moves(self) -> Iterable[Hashable]: ...
 
@@ -25,7 +26,7 @@
 
 @dataclass(slots=True)
 class Explored:
-    """`violation` with the path to it, or empty; `complete`: no state within the depth was left out."""
+    """`violation` (empty if none) and `path`, the moves to it; `complete`: no state within the depth was left out."""
 
     states: int
     depth: int
@@ -35,19 +36,19 @@
 
 
 def explore(make: Callable[[], World], depth: int, max_states: int = 1_000_000) -> Explored:
-    """Breadth first, so that a path to something violation is one of the shortest."""
-    first = make()
-    if first.violation():
-        return Explored(1, 0, True, first.violation())
-    seen = {first.key()}
-    waiting: deque[tuple] = deque([()])
+    """Explores breadth first, so that the path to a violation is one of the shortest."""
+    initial = make()
+    if initial.violation():
+        return Explored(1, 0, True, initial.violation())
+    seen = {initial.key()}
+    pending: deque[tuple] = deque([()])
     deepest = 0
-    while waiting:
-        path = waiting.popleft()
+    while pending:
+        path = pending.popleft()
         if len(path) == depth:
             continue
-        for move in list(_at(make, path).moves()):
-            world = _at(make, (*path, move))
+        for move in list(_replay(make, path).moves()):
+            world = _replay(make, (*path, move))
             violation = world.violation()
             if violation:
                 return Explored(len(seen), len(path) + 1, False, violation, (*path, move))
@@ -58,11 +59,11 @@
                 return Explored(len(seen), deepest, False)
             seen.add(key)
             deepest = len(path) + 1
-            waiting.append((*path, move))
+            pending.append((*path, move))
     return Explored(len(seen), deepest, True)
 
 
-def _at(make: Callable[[], World], path: tuple) -> World:
+def _replay(make: Callable[[], World], path: tuple) -> World:
     world = make()
     for move in path:
         world.play(move)
--- a/sprucespool/emulator/liars.py
+++ b/sprucespool/emulator/liars.py
@@ -1,4 +1,4 @@
-"""Controllers that lie, to see what it costs the others; played in virtual time and over sockets."""
+"""Controllers that send false reports, to measure the effect on the others; used in virtual time and over sockets."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class LyingMeter(Meter):
-    """Its zone is asked a million cores, and home answers nothing."""
+    """Reports a demand of a million cores in its zone, and that the home zone answers nothing."""
 
     def figures(self, now: float) -> tuple[float, float, float, float, float]:
         return 1e6, 1e6, 0.0, 0.0, 0.0
--- a/sprucespool/emulator/models.py
+++ b/sprucespool/emulator/models.py
@@ -1,4 +1,4 @@
-"""Worlds for exploration: a few members of the group, and a few holders of shared parts, with all that may go wrong."""
+"""Models for exploration: group members, holders of shares, fleet views and voters, with all faults they may meet."""
 
 from __future__ import annotations
 
@@ -15,19 +15,22 @@
 
 
 class GroupWorld:
-    """Rules of merging and refuting, time left out: any member may accuse any other and give it up at any moment.
-    What is told stays in the air for good: it may come in any order, again, late, or never."""
+    """The rules of merging and refuting, without time.
+
+    Any member may suspect any other, or declare it dead, at any moment.
+    A message stays in transit for good: it may arrive in any order, repeatedly, late, or never."""
 
     def __init__(self, members: int = 3, kind: type[Group] = Group, max_messages: int = 3):
         self.kind, self.max_messages = kind, max_messages
         self.names = [f"m{n}" for n in range(members)]
         self.starts = 100
         self.members: dict[str, Group] = {}
-        self.air: list[tuple[Row, ...]] = []
-        self.best: dict[tuple[str, str, int], tuple[int, int]] = {}
-        # Who heard of whose leave.
+        self.in_transit: list[tuple[Row, ...]] = []
+        # By viewer and seat: the highest incarnation and version seen.
+        self.highest_seen: dict[tuple[str, str, int], tuple[int, int]] = {}
+        # Who received whose leave.
         self.left: set[tuple[str, str, int]] = set()
-        self.sins = ""
+        self.broken = ""
         for name in self.names:
             self._start(name)
         for one in self.members.values():
@@ -48,11 +51,11 @@
             yield "crash", name
             yield "leave", name
             yield "say", name
-            if len(self.air) < self.max_messages:
+            if len(self.in_transit) < self.max_messages:
                 yield "tell", name
             for seat, held in one.table.present.items():
                 yield ("accuse" if held.row.state is State.ALIVE else "give up"), name, seat[0]
-            for n in range(len(self.air)):
+            for n in range(len(self.in_transit)):
                 yield "hear", name, n
 
     def play(self, move: Hashable) -> None:
@@ -63,13 +66,13 @@
             self._start(name)
         elif what == "leave":
             one.leave(0.0)
-            self.air.append((one.me,))
+            self.in_transit.append((one.me,))
         elif what == "say":
             one.update_about(0.0, replace(one.about, phase=Phase((one.about.phase + 1) % 3)))
         elif what == "tell":
-            self.air.append((one.me, *(held.row for held in one.table.records.values())))
+            self.in_transit.append((one.me, *(held.row for held in one.table.records.values())))
         elif what == "hear":
-            for row in self.air[move[2]]:
+            for row in self.in_transit[move[2]]:
                 one._learn(0.0, row, "m?")
         else:
             seat = (move[2], f"at-{move[2]}")
@@ -83,17 +86,17 @@
         for name, one in self.members.items():
             for row in (one.me, *(held.row for held in one.table.records.values())):
                 key = (f"{name} {one.start}", row.name, row.start)
-                before = self.best.get(key, (0, 0))
+                before = self.highest_seen.get(key, (0, 0))
                 if row.incarnation < before[0] or row.version < before[1]:
-                    self.sins = f"{name} saw {row.name} go back"
-                self.best[key] = max(before[0], row.incarnation), max(before[1], row.version)
+                    self.broken = f"{name} saw an earlier row of {row.name} again"
+                self.highest_seen[key] = max(before[0], row.incarnation), max(before[1], row.version)
                 owner = self.members.get(row.name)
                 if owner is not None and owner.start == row.start and row.incarnation > owner.me.incarnation:
-                    self.sins = f"{name} holds {row.name} at an incarnation it never said"
+                    self.broken = f"{name} holds {row.name} at an incarnation that it never announced"
                 if row.state is State.LEFT:
                     self.left.add(key)
                 elif key in self.left:
-                    self.sins = f"{name} holds {row.name} {row.state.name.lower()} though it heard that it left"
+                    self.broken = f"{name} holds {row.name} {row.state.name.lower()} although it received its leave"
 
     def key(self) -> Hashable:
         def told(row: Row) -> tuple:
@@ -104,15 +107,17 @@
                 (name, one.left, told(one.me), tuple(sorted(told(held.row) for held in one.table.records.values())))
                 for name, one in self.members.items()
             ),
-            tuple(sorted(tuple(map(told, rows)) for rows in self.air)),
+            tuple(sorted(tuple(map(told, rows)) for rows in self.in_transit)),
         )
 
     def violation(self) -> str:
-        return self.sins or self._unsettled()
+        return self.broken or self._unsettled()
 
     def _unsettled(self) -> str:
-        """Let all that live hear each other until nothing is new, with nobody accusing: they must see the same, and
-        nobody that lives may be held dead. Played on the world itself: it is not used again afterwards."""
+        """Lets all live members exchange rows until nothing changes, without new suspicions.
+
+        They must then see the same, and no live member may be held dead. Changes the model itself, which is not used
+        again afterwards."""
         live = [one for one in self.members.values() if not one.left]
         for _ in range(8):
             before = self.key()
@@ -121,7 +126,7 @@
                     if one is not other:
                         for row in (other.me, *(held.row for held in list(other.table.records.values()))):
                             one._learn(0.0, row, other.name)
-                # Doubts end in time; of who runs they are refuted before.
+                # Suspicions end after a while; those of running members are refuted before.
                 for seat, held in list(one.table.present.items()):
                     owner = self.members[seat[0]]
                     if held.row.state is State.SUSPECT and (owner.left or owner.start != held.row.start):
@@ -129,30 +134,31 @@
             if self.key() == before:
                 break
         else:
-            return "news goes round for ever"
+            return "changes circulate for ever"
         self._watch()
         for one in live:
             for other in live:
                 if one is not other and not (found := one.table.records[other.me.seat].row).present:
-                    return f"{one.name} holds {other.name} {found.state.name.lower()}, which runs"
+                    return f"{one.name} holds {other.name} {found.state.name.lower()}, which is running"
         if len({one.digest for one in live}) > 1:
-            return "members that told each other all see different things"
-        return self.sins
+            return "members that exchanged all rows have different views"
+        return self.broken
 
 
 class SharesWorld:
-    """Processes of a few numbers that leave, crash, start anew, ask and lend, with messages in any order, and time in
-    steps of half a loan. The sum of the parts of all that run must never exceed the whole."""
+    """Processes of a few numbers that leave, crash, restart, request and lend shares, with messages in any order.
+
+    Time advances in steps of half a loan. The shares of all running processes must never exceed the total."""
 
     def __init__(self, of: int = 3, kind: type[Shares] = Shares, steps: int = 6):
-        self.of, self.kind, self.left_steps = of, kind, steps
+        self.of, self.kind, self.steps_left = of, kind, steps
         self.now, self.starts, self.number = 0.0, 0, 0
         self.run: dict[int, Shares] = {}
-        # What is in the air: (kind, from, start, to, its start, number, figure); kept for ever, so it may come again.
-        self.air: dict[tuple, None] = {}
+        # Messages in transit: (kind, from, start, to, its start, number, value). Kept for good: each may arrive again.
+        self.in_transit: dict[tuple, None] = {}
         for number in range(of):
             self._start(number)
-            # They run for long: what held at their start is over.
+            # They have run for long, so the restrictions after a start are over.
             self.run[number].ready = True
 
     def _start(self, number: int):
@@ -161,7 +167,7 @@
         self.run[number].begin(self.now)
 
     def moves(self) -> Iterable[Hashable]:
-        if self.left_steps:
+        if self.steps_left:
             yield "time", 0
         for number, one in self.run.items():
             if not one.closed:
@@ -169,14 +175,14 @@
             yield "restart", number
             for other, its in self.run.items():
                 if other != number:
-                    # Also of one that has not ended: what an asker believes may be wrong.
+                    # Also asked of a process that has not ended, since the asking one may be wrong about that.
                     if not one.closed and number not in {
-                        lend[1] for lend in self.air if (lend[0] == "lend" and lend[4] == its.start)
+                        lend[1] for lend in self.in_transit if (lend[0] == "lend" and lend[4] == its.start)
                     }:
                         yield "ask", number, other
                     if other in one.unconfirmed_numbers(set(self.run)):
                         yield "freed?", number, other
-        for message in self.air:
+        for message in self.in_transit:
             if self.run[message[3]].start == message[4]:
                 yield "come", message
 
@@ -185,7 +191,7 @@
         what, who = move[0], move[1]
         if what == "time":
             self.now += 1.0
-            self.left_steps -= 1
+            self.steps_left -= 1
         elif what == "close":
             self.run[who].close()
         elif what == "restart":
@@ -199,20 +205,20 @@
             one, other = self.run[who], self.run[move[2]]
             self._post("freed?", one, other.number, other.start, 0)
         else:
-            self._come(who)
+            self._deliver(who)
 
-    def _post(self, kind: str, sender: Shares, to: int, start: int, number: int, figure: float = 0.0):
-        self.air[kind, sender.number, sender.start, to, start, number, figure] = None
+    def _post(self, kind: str, sender: Shares, to: int, start: int, number: int, value: float = 0.0):
+        self.in_transit[kind, sender.number, sender.start, to, start, number, value] = None
 
-    def _come(self, message: tuple):
-        kind, number, start, to, _, asks, figure = message
+    def _deliver(self, message: tuple):
+        kind, number, start, to, _, request, value = message
         one = self.run[to]
         if kind == "lend":
-            part = one.grant_loan(self.of)
-            if part:
-                self._post("lent", one, number, start, asks, part)
+            share = one.grant_loan(self.of)
+            if share:
+                self._post("lent", one, number, start, request, share)
         elif kind == "lent":
-            one.accept_loan(self.now, asks, number, start, figure)
+            one.accept_loan(self.now, request, number, start, value)
         elif kind == "freed?":
             one.release(number, start)
             self._post("freed", one, number, start, 0)
@@ -237,24 +243,25 @@
                 )
                 for n, one in self.run.items()
             ),
-            tuple(sorted(self.air)),
+            tuple(sorted(self.in_transit)),
         )
 
     def violation(self) -> str:
-        parts = {number: one.share(self.now) for number, one in self.run.items()}
-        return f"the parts come to {sum(parts.values()):.3f}: {parts}" if sum(parts.values()) > 1 + 1e-9 else ""
+        shares = {number: one.share(self.now) for number, one in self.run.items()}
+        return f"the shares add up to {sum(shares.values()):.3f}: {shares}" if sum(shares.values()) > 1 + 1e-9 else ""
 
 
-def world_factory(world: Callable[..., object], **over):
-    """A maker of worlds of that kind."""
-    return lambda: world(**over)
+def world_factory(world: Callable[..., object], **options):
+    """Returns a function that creates such a model."""
+    return lambda: world(**options)
 
 
 class ViewWorld:
-    """The view of one address among a few controllers, time left out. The roster's script: a process, its drain, its
-    end, another in its place; each controller's own connection is somewhere in it, may start over from an old copy,
-    break, or never come. What is told stays in the air: in any order, again, late, never. Both processes may tell who
-    they are."""
+    """The view of one address among a few controllers, without time.
+
+    The roster's script: a process, its drain, its end, another process in its place. Each controller's own roster
+    connection is somewhere in the script, may start over from an old copy, break, or never be made. Messages stay in
+    transit and may arrive in any order, repeatedly, late, or never. Both processes may report their identity."""
 
     SCRIPT = (
         (False, "1", Listed.IN_SERVICE, False),
@@ -267,11 +274,11 @@
         self.kind, self.max_messages, self.starts = kind, max_messages, 0
         self.fleets: dict[str, Fleet] = {}
         self.at: dict[str, int] = {}
-        # What each was told by anybody: ends of the first process, the second one.
+        # What each controller has learned from anybody: the end of the first process, the second process.
         self.ended: dict[str, bool] = {}
         self.replaced: dict[str, bool] = {}
-        self.air: list[tuple[Record, ...]] = []
-        self.sins = ""
+        self.in_transit: list[tuple[Record, ...]] = []
+        self.broken = ""
         self.names = [f"c{n}" for n in range(controllers)]
         for name in self.names:
             self._start(name)
@@ -293,9 +300,9 @@
                 yield "sees", name, "2", False
             elif reached >= 2:
                 yield "sees", name, "1", True
-            if len(self.air) < self.max_messages and self.fleets[name].view.records:
+            if len(self.in_transit) < self.max_messages and self.fleets[name].view.records:
                 yield "tell", name
-            for n in range(len(self.air)):
+            for n in range(len(self.in_transit)):
                 yield "hear", name, n
             if self.starts < len(self.names) + 1:
                 yield "restart", name
@@ -324,10 +331,10 @@
             self.ended[name] |= move[3]
             self.replaced[name] |= move[2] == "2"
         elif what == "tell":
-            self.air.append(tuple(one.view.records.values()))
+            self.in_transit.append(tuple(one.view.records.values()))
         elif what == "hear":
-            one.heard(0.0, Note("extra", ("c?", 1), "at-c?", one.digest, 0, self.air[move[2]]))
-            for record in self.air[move[2]]:
+            one.heard(0.0, Note("extra", ("c?", 1), "at-c?", one.digest, 0, self.in_transit[move[2]]))
+            for record in self.in_transit[move[2]]:
                 self.ended[name] |= record.process[1] == "1" and record.course() > Course.SERVING
         else:
             self._start(name)
@@ -336,14 +343,14 @@
 
     def _watch(self, name: str):
         if self.fleets[name].course(("w", "2")) is not Course.SERVING:
-            self.sins = f"{name} takes the process that serves for one that is over"
+            self.broken = f"{name} considers the serving process ended"
         place = self.fleets[name].told.get("w")
         if place is None or place.boot != "1":
             return
         if self.ended[name] and place.status == "in service":
-            self.sins = f"{name} uses a process that it was told drains or is gone"
+            self.broken = f"{name} uses a process that was reported to it as draining or gone"
         if self.replaced[name] and place.status != "gone":
-            self.sins = f"{name} holds a process in whose place it was told of another"
+            self.broken = f"{name} holds a process that was reported to it as replaced"
 
     def key(self) -> Hashable:
         return (
@@ -364,28 +371,34 @@
                 )
                 for name, one in self.fleets.items()
             ),
-            repr(self.air),
+            repr(self.in_transit),
             self.starts,
         )
 
     def violation(self) -> str:
-        if self.sins:
-            return self.sins
-        # Whoever hears all of all holds the same.
+        if self.broken:
+            return self.broken
+        # Whoever receives all records of all controllers must hold the same view.
         merged: list[Fleet] = []
         for reverse in (False, True):
             one = self.kind(("m", 1), "at-m", "z")
             for fleet in sorted(self.fleets.values(), key=lambda fleet: fleet.me, reverse=reverse):
                 one.heard(0.0, Note("extra", ("c?", 1), "at-c?", one.digest, 0, tuple(fleet.view.records.values())))
             merged.append(one)
-        return "" if merged[0].digest == merged[1].digest else "told in another order it holds something else"
+        return (
+            ""
+            if merged[0].digest == merged[1].digest
+            else "received in another order the same records give another view"
+        )
 
 
 class CouncilWorld:
-    """Voters and what is said between them, time left out: any may find its wait over, none is ever "quiet" too long, a
-    word may come in any order, twice, late, never; a voter may crash and come back with what it kept. A leader may
-    propose, and give one of `spares` a vote or take one away. What must not be: two leaders of a term, two plans of an
-    epoch, an epoch that goes back, a plan in force that a later one in force forgets."""
+    """Voters and the messages between them, without time.
+
+    Any voter's wait may end at any moment, and no voter's silence is counted. A message may arrive in any order, twice,
+    late, or never. A voter may crash and restart with what it stored. A leader may propose, and give one of `spares` a
+    vote or take one away. Invariants: one leader per term, one plan per epoch, epochs never decrease, and no plan in
+    force is lost by a later one."""
 
     def __init__(
         self,
@@ -406,12 +419,12 @@
         self.every = (*self.names, *(f"w{n}" for n in range(spares)))
         self.disks: dict[str, Ballot] = {name: Ballot() for name in self.every}
         self.councils = {name: self._new(name) for name in self.every}
-        self.air: list[tuple[str, Word]] = []
+        self.in_transit: list[tuple[str, Word]] = []
         self.leaders: dict[int, str] = {}
         self.plans: dict[tuple[int, int], Plan] = {}
         self.highest: dict[str, tuple[int, int]] = {}
         self.proposed = self.crashed = 0
-        self.sins = ""
+        self.broken = ""
 
     def _new(self, name: str) -> Council:
         one = self.kind(name, self.names, 1, self.disks[name] if self.keeps else Ballot())
@@ -420,27 +433,27 @@
 
     def moves(self) -> Iterable[Hashable]:
         for name, one in self.councils.items():
-            if one.role != "leader" and one.votes and len(self.air) < self.max_messages:
+            if one.role != "leader" and one.votes and len(self.in_transit) < self.max_messages:
                 yield "stand", name
                 if self.asks:
                     yield "wait over", name
-            if one.role == "leader" and self.proposed < self.proposals and len(self.air) < self.max_messages:
+            if one.role == "leader" and self.proposed < self.proposals and len(self.in_transit) < self.max_messages:
                 yield "propose", name
-            if one.role == "leader" and self.reseated < self.reseats and len(self.air) < self.max_messages:
+            if one.role == "leader" and self.reseated < self.reseats and len(self.in_transit) < self.max_messages:
                 for other in self.every:
                     if other != name:
                         yield "reseat", name, other
             if self.crashed < self.crashes:
                 yield "crash", name
-        for n in range(len(self.air)):
+        for n in range(len(self.in_transit)):
             yield "hear", n
 
     def play(self, move: Hashable) -> None:
         assert isinstance(move, tuple)
         what = move[0]
         if what == "hear":
-            name, word = self.air[move[1]]
-            # Nobody's silence is counted here: a leader just heard may be voted out at any moment.
+            name, word = self.in_transit[move[1]]
+            # Silence is not counted here: a leader that was just heard may be voted out at any moment.
             one = self.councils[name]
             one.heard_at = one.lease_until = -1e9
             effects = one.heard(0.0, word)
@@ -450,7 +463,7 @@
             if what == "wait over":
                 effects = one._ask(0.0)
             elif what == "stand":
-                # As if most had said that they would: the asking before it keeps terms low, no safety rests on it.
+                # As if a majority had agreed beforehand: that inquiry only keeps terms low; safety does not need it.
                 effects = one._stand(0.0)
             elif what == "propose":
                 self.proposed += 1
@@ -466,7 +479,7 @@
             if isinstance(effect, Keep):
                 self.disks[name] = effect.ballot
             else:
-                self.air.append((effect.to, effect.word))
+                self.in_transit.append((effect.to, effect.word))
         self._watch(name)
 
     def _watch(self, name: str):
@@ -474,13 +487,13 @@
         if one.role == "leader":
             before = self.leaders.setdefault(one.ballot.term, name)
             if before != name:
-                self.sins = f"{before} and {name} lead in term {one.ballot.term}"
+                self.broken = f"{before} and {name} lead in term {one.ballot.term}"
         for plan in (one.plan, one.decided):
             if plan is not None and self.plans.setdefault(plan.epoch, plan) != plan:
-                self.sins = f"two plans of epoch {plan.epoch}"
+                self.broken = f"two plans of epoch {plan.epoch}"
         if one.decided is not None:
             if one.decided.epoch < self.highest.get(name, (0, 0)) and self.crashed == 0:
-                self.sins = f"{name} went back to {one.decided.epoch}"
+                self.broken = f"{name} went back to epoch {one.decided.epoch}"
             self.highest[name] = max(self.highest.get(name, (0, 0)), one.decided.epoch)
 
     def key(self) -> Hashable:
@@ -498,7 +511,7 @@
             )
             for name, one in self.councils.items()
         ]
-        return repr(held), repr(self.air), self.proposed, self.crashed, self.reseated
+        return repr(held), repr(self.in_transit), self.proposed, self.crashed, self.reseated
 
     def violation(self) -> str:
-        return self.sins
+        return self.broken
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -404,11 +404,11 @@
 def among(world, *names):
     """All that is said between these is heard, until nothing more is said."""
     while True:
-        heard = next((n for n, (to, word) in enumerate(world.air) if to in names and word.sender in names), None)
+        heard = next((n for n, (to, word) in enumerate(world.in_transit) if to in names and word.sender in names), None)
         if heard is None:
             return
         world.play(("hear", heard))
-        world.air.pop(heard)
+        world.in_transit.pop(heard)
 
 
 def two_at_once(world):
@@ -451,9 +451,9 @@
     among(world, "v0", "w0")
     world.play(("stand", "v1"))
     # v3 gives its vote and hears no more of it.
-    vote = next(n for n, (to, word) in enumerate(world.air) if to == "v3" and word.sender == "v1")
+    vote = next(n for n, (to, word) in enumerate(world.in_transit) if to == "v3" and word.sender == "v1")
     world.play(("hear", vote))
-    voted = next(n for n, (to, word) in enumerate(world.air) if to == "v1" and word.sender == "v3")
+    voted = next(n for n, (to, word) in enumerate(world.in_transit) if to == "v1" and word.sender == "v3")
     world.play(("hear", voted))
     among(world, "v1", "v2")
     world.play(("reseat", "v1", "w1"))
