--- a/sprucespool/emulator/cases.py
+++ b/sprucespool/emulator/cases.py
@@ -1,6 +1,6 @@
-"""Hard cases of the fleet's view in virtual time: what happens to a `FleetWorld`, and what came of it.
+"""Hard cases of the fleet's view in virtual time: the faults applied to a `FleetWorld`, and the outcome.
 
-Each case is given the same world with and without notes between controllers, so that both can stand in one table.
+Each case runs in the same world with and without notes between controllers, so that both can be compared in a table.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from sprucespool.emulator.fleet import VirtualInvoker, FleetWorld
+from sprucespool.emulator.fleet import FleetWorld, VirtualInvoker
 from sprucespool.faults import LinkState
 from sprucespool.fleet import Fleet, Listed, Listing, Opinion, Record, Send, Word
 from sprucespool.fleet.records import Course
@@ -20,17 +20,17 @@
 
 
 class Liar(Fleet):
-    """Says of all invokers that they are silent and gone or draining, and invents others."""
+    """Reports of all invokers that they are silent and gone or draining, and invents others."""
 
     lying = False
 
     def tick(self, now: float) -> list[Send]:
-        said = super().tick(now)
+        sends = super().tick(now)
         self._chance(2)
         if self.lying and self.drawn % 3 == 0:
-            known = list(self.view.records.values())
+            records = list(self.view.records.values())
             rows = []
-            for n, record in enumerate(known[:64]):
+            for n, record in enumerate(records[:64]):
                 course = (Course.GONE, Course.DRAINING)[n % 2]
                 rows.append(
                     Record(
@@ -49,40 +49,40 @@
                     )
                 )
             for peer in self.peers[:16]:
-                said.append(Send(peer.address, self._note("push", tuple(rows))))
-        return said
+                sends.append(Send(peer.address, self._note("push", tuple(rows))))
+        return sends
 
 
-def _every(
+def _apply_one_by_one(
     invokers: list[VirtualInvoker],
-    each: float,
+    interval: float,
     world: FleetWorld,
-    act: Callable[[VirtualInvoker], None],
+    action: Callable[[VirtualInvoker], None],
     begin: float = 500.0,
 ):
     for n, invoker in enumerate(invokers):
-        world._later(begin + each * n, lambda invoker=invoker: act(invoker))  # type: ignore[misc]
+        world._later(begin + interval * n, lambda invoker=invoker: action(invoker))  # type: ignore[misc]
 
 
 def roster_dark(world: FleetWorld) -> None:
-    """The roster is dead for 60 s while a third of the invokers drain and are replaced at the same addresses."""
+    """The roster is down for 60 s while a third of the invokers drain and are replaced at the same addresses."""
     world.roster_down()
-    some = list(world.invokers.values())[::3]
-    _every(some, 30_000 / len(some), world, lambda invoker: world.replace(invoker, 2_500.0, 1_500.0))
+    chosen = list(world.invokers.values())[::3]
+    _apply_one_by_one(chosen, 30_000 / len(chosen), world, lambda invoker: world.replace(invoker, 2_500.0, 1_500.0))
     world.run(60_000)
     world.roster_down(False)
 
 
 def pushed_to_one(world: FleetWorld) -> None:
-    """The roster reaches one controller only, and the others' connections stand still."""
+    """The roster reaches one controller only; the connections of the others carry nothing."""
     world.only = {"c0"}
-    some = list(world.invokers.values())[::4]
-    _every(some, 10_000 / len(some), world, lambda invoker: world.replace(invoker, 2_500.0, 500.0))
+    chosen = list(world.invokers.values())[::4]
+    _apply_one_by_one(chosen, 10_000 / len(chosen), world, lambda invoker: world.replace(invoker, 2_500.0, 500.0))
     world.run(20_000)
 
 
 def drained_for_one(world: FleetWorld) -> None:
-    """The roster tells one controller that a third of the invokers drain; they themselves tell nobody, and serve on."""
+    """The roster reports to one controller that a third of the invokers drain; they report nothing and keep serving."""
     world.only = {"c0"}
     for invoker in list(world.invokers.values())[::3]:
         invoker.tells = False
@@ -91,24 +91,24 @@
 
 
 def old_copy(world: FleetWorld) -> None:
-    """A roster restored from an old copy tells a third of the controllers its whole list, with earlier versions."""
-    then, version = list(world.rows.values()), world.version
-    some = list(world.invokers.values())[::3]
-    _every(some, 5_000 / len(some), world, lambda invoker: world.replace(invoker, 1_000.0, 300.0))
+    """A roster restored from an old copy sends a third of the controllers its full list, with earlier versions."""
+    old_rows, version = list(world.rows.values()), world.version
+    chosen = list(world.invokers.values())[::3]
+    _apply_one_by_one(chosen, 5_000 / len(chosen), world, lambda invoker: world.replace(invoker, 1_000.0, 300.0))
     world.run(12_000)
-    world.old_copy(sorted(world.members)[::3], version, then)
+    world.old_copy(sorted(world.members)[::3], version, old_rows)
     world.run(5_000)
 
 
 def halves(world: FleetWorld) -> None:
-    """Half of the controllers are cut off from the roster and the others; the halves are told different things."""
+    """Half of the controllers are cut off from the roster and the others; the halves receive different reports."""
     names = sorted(world.members)
     near, far = set(names[::2]), set(names[1::2])
     world.partition([near | {"roster"}, far])
     invokers = list(world.invokers.values())
-    # The side of the roster hears of these; the far side of those from the invokers themselves.
-    _every(invokers[::6], 1_000, world, lambda invoker: world.replace(invoker, 2_500.0, 500.0))
-    _every(invokers[1::6], 1_000, world, lambda invoker: world.drain(invoker, listed=False))
+    # The roster reports the first group to its own side; the second is reported to the far side by the invokers.
+    _apply_one_by_one(invokers[::6], 1_000, world, lambda invoker: world.replace(invoker, 2_500.0, 500.0))
+    _apply_one_by_one(invokers[1::6], 1_000, world, lambda invoker: world.drain(invoker, listed=False))
     world.run(30_000)
     world.heal()
     for invoker in invokers[1::6]:
@@ -116,10 +116,10 @@
 
 
 def liar(world: FleetWorld) -> None:
-    """One controller lies about all: marks the fleet silent or gone, invents invokers."""
-    told = world.fleets[world.members["c0"]]
-    if isinstance(told, Liar):
-        told.lying = True
+    """One controller sends false reports: marks the fleet silent or gone, and invents invokers."""
+    fleet = world.fleets[world.members["c0"]]
+    if isinstance(fleet, Liar):
+        fleet.lying = True
     world.run(20_000)
 
 
@@ -133,7 +133,7 @@
 
 
 def far_drain(world: FleetWorld) -> None:
-    """A drain is told during a partition, on the far side only; those on this side know when it heals."""
+    """A drain is reported during a partition, on one side only; the other side learns of it after the heal."""
     names = sorted(world.members)
     world.partition([set(names[::2]) | {"roster"}, set(names[1::2])])
     world.run(12_000)
@@ -147,57 +147,57 @@
 def replaced(world: FleetWorld) -> None:
     """Six in ten invokers are replaced within 7 s."""
     invokers = list(world.invokers.values())
-    some = invokers[: round(0.6 * len(invokers))]
-    _every(some, 7_000 / len(some), world, lambda invoker: world.replace(invoker, 1_500.0, 1_000.0))
+    chosen = invokers[: round(0.6 * len(invokers))]
+    _apply_one_by_one(chosen, 7_000 / len(chosen), world, lambda invoker: world.replace(invoker, 1_500.0, 1_000.0))
     world.run(14_000)
 
 
 def all_restart(world: FleetWorld) -> None:
-    """All controllers are restarted with the roster down: each has its snapshot, and what the group pieces together."""
+    """All controllers restart while the roster is down: they have their snapshots and what the group still knows."""
     world.roster_down()
     world.run(1_000)
     for name in sorted(world.members):
         fleet = world.fleets[world.members[name]]
-        kept = fleet.dump() if int(name[1:]) % 4 == 0 else []
+        snapshot = fleet.dump() if int(name[1:]) % 4 == 0 else []
         one = world.restart(name)
-        # A snapshot of 30 s ago, at one in four; the others had none.
-        world.fleets[one].restore(world._time(one), kept)
+        # One in four controllers has a snapshot; the others have none.
+        world.fleets[one].restore(world._time(one), snapshot)
         world._carry_out(one, [])
     world.run(15_000)
     world.roster_down(False)
 
 
 def flapping(world: FleetWorld) -> None:
-    """An invoker stops and goes on answering every 300 ms."""
+    """An invoker alternates between hanging and answering every 300 ms."""
     invoker = next(iter(world.invokers.values()))
 
-    def turn(left: int):
+    def toggle(left: int):
         invoker.hung = not invoker.hung and left > 0
         if left > 0:
-            world._later(300.0, lambda: turn(left - 1))
+            world._later(300.0, lambda: toggle(left - 1))
 
-    turn(60)
+    toggle(60)
     world.run(20_000)
 
 
 def silent(world: FleetWorld) -> None:
-    """One in eight invokers hangs for 15 s; the roster sees nothing of it."""
-    some = list(world.invokers.values())[::8]
-    for invoker in some:
+    """One in eight invokers hangs for 15 s, unnoticed by the roster."""
+    chosen = list(world.invokers.values())[::8]
+    for invoker in chosen:
         invoker.hung = True
     world.run(15_000)
-    for invoker in some:
+    for invoker in chosen:
         invoker.hung = False
 
 
 def dead_unlisted(world: FleetWorld) -> None:
-    """One in eight invokers dies with the roster down: nobody is told."""
+    """One in eight invokers dies while the roster is down, so nobody is notified."""
     world.roster_down()
-    some = list(world.invokers.values())[::8]
-    for invoker in some:
+    chosen = list(world.invokers.values())[::8]
+    for invoker in chosen:
         world.down(invoker)
     world.run(15_000)
-    for invoker in some:
+    for invoker in chosen:
         world.start(invoker)
     world.roster_down(False)
 
@@ -211,7 +211,7 @@
         world.rows[invoker.address] = world._row(invoker)
     world.version += 1
     rows = [world._row(invoker) for invoker in world.invokers.values()]
-    # A tenth of the controllers hear it from the roster; the others' connections come back later.
+    # A tenth of the controllers receive it from the roster; the connections of the others return later.
     for name in sorted(world.members)[::10]:
         world._report_roster(world.members[name], False, world.version, rows)
     world.run(10_000)
@@ -254,7 +254,7 @@
     told: list[float]
     figures: dict[str, Any]
     kinds: dict[str, int] = field(default_factory=dict)
-    # Of the invokers that serve, the part that a controller may choose from: on the mean, and at the worst look.
+    # Fraction of the serving invokers that a controller may choose from: mean, and worst observation.
     usable: float = 0.0
     least_usable: float = 0.0
 
@@ -288,24 +288,24 @@
     bounds: seen.FleetBounds | None = None,
     observe_interval: float = 500.0,
 ) -> Outcome:
-    """One case from a settled group to equal views or 60 s after."""
+    """Plays one case from a settled group until the views are equal, at most 60 s after the case."""
     world = FleetWorld(size, invokers, seed, share, rate, kind=kind, liars=int(case == "liar"), liar=Liar)
     world.run(4_000)
-    begun = world.figures.as_dict()
+    initial = world.figures.as_dict()
     world.events_by_controller.clear()
     world.observe_every(observe_interval)
     CASES[case](world)
     # Changes that are still on their way are part of the case.
     world.run(2_500)
     honest = {name for name, one in world.members.items() if not isinstance(world.fleets[one], Liar)}
-    whole: Callable[[], bool] = lambda: world.fleet_alike(honest)  # noqa: E731
-    alike = 0.0 if whole() else world.run(60_000, whole)
+    views_equal: Callable[[], bool] = lambda: world.fleet_alike(honest)  # noqa: E731
+    alike = 0.0 if views_equal() else world.run(60_000, views_equal)
     world.run(bounds.alike_within if bounds else 6_000)
     if case == "liar":
         world.kill("c0")
         world.run(10_000)
     verdict = world.verdict(bounds or seen.FleetBounds(alike_within=10_000.0))
-    figures = {name: after - begun[name] for name, after in world.figures.as_dict().items()}
+    figures = {name: after - initial[name] for name, after in world.figures.as_dict().items()}
     kinds: dict[str, int] = {}
     for _, event in world.events_by_controller:
         kinds[event.kind] = kinds.get(event.kind, 0) + 1
--- a/sprucespool/emulator/hunt.py
+++ b/sprucespool/emulator/hunt.py
@@ -271,7 +271,7 @@
 
 
 def _rising(world: HuntWorld, fault: Fault, name: str, both: Both):
-    both(lambda: world.grown.update({fault.zone: 1.5}), lambda: world.grown.update({fault.zone: 1.0}))
+    both(lambda: world.demand_factor.update({fault.zone: 1.5}), lambda: world.demand_factor.update({fault.zone: 1.0}))
 
 
 BEGINS: dict[str, Callable[[HuntWorld, Fault, str, Both], None]] = {
--- a/sprucespool/emulator/plans.py
+++ b/sprucespool/emulator/plans.py
@@ -1,12 +1,12 @@
-"""Controllers that follow plans of zones in virtual time: invokers that queue, zones that are lost, links that fail.
+"""Controllers that follow plans of zones in virtual time: invokers with queues, lost zones, failing links.
 
 The objects that run in the daemon (`Group`, `Fleet`, `Failover`, `Steer`, `Meter`, `gauge`, `Spread`) over a world of
-invokers with cores and queues; from one seed, one course. Which invoker of a zone gets a forward is chosen plainly
-(fewest own in flight, ties by chance), alike for all deciders: what is compared is where traffic goes.
+invokers with cores and queues; deterministic from its seed. The invoker within a zone is simply chosen (fewest own
+forwards in flight, ties at random) and alike for all deciders, since what is compared is where traffic goes.
 
-`today`: the nearest zone where anything is usable, by own eyes and the fleet's view alone. `alone`: each controller
-plans for itself. `common`: the plan that the council has in force. `top`: the exact solver with perfect sight, at
-once.
+`today`: the nearest zone with a usable invoker, by own observations and the fleet's view alone. `alone`: each
+controller plans for itself. `common`: the plan that the council has in force. `top`: the exact solver with perfect
+knowledge, at once.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from functools import partial
 from typing import Any
 
-from sprucespool.emulator.fleet import VirtualInvoker, FleetWorld
+from sprucespool.emulator.fleet import FleetWorld, VirtualInvoker
 from sprucespool.emulator.liars import LyingMeter
 from sprucespool.failover import (
     Codec,
@@ -48,13 +48,16 @@
 from sprucespool.membership import Group, GroupLimits, Message
 
 DECIDERS = ("today", "alone", "common", "top")
-SLO, TTL, GROUP = 600.0, 1_500.0, "line"
-TICK = 250.0
+SLO_MS, TTL_MS, GROUP = 600.0, 1_500.0, "line"
+TICK_MS = 250.0
 
 
 @dataclass(slots=True)
 class WorldParameters:
-    """Of the world: `load` is the part of all warm cores that clients ask; the part of it that stays in its region."""
+    """`load`: demand as a fraction of all warm cores; `stays`: the fraction of it that must stay in its region.
+
+    `run`: range of run times (ms).
+    """
 
     cores: int = 2
     queue: int = 12
@@ -67,7 +70,7 @@
 
 @dataclass(slots=True, eq=False)
 class _FailoverState:
-    """One controller's part of failover."""
+    """The failover objects of one controller."""
 
     failover: Failover
     steer: Steer
@@ -82,8 +85,9 @@
 
 @dataclass(slots=True)
 class Came:
-    """What came of a run. `worst_10s`: the least service of ten seconds; `zones`: service by zone of clients. Times in
-    ms."""
+    """Outcome of a run. `worst_10s`: lowest service within ten seconds; `zones`: service by zone of clients.
+
+    Times in ms."""
 
     decider: str
     seed: int
@@ -139,26 +143,26 @@
         self.asked: list[tuple[float, str, bool]] = []
         self.reached: list[judged.Reached] = []
         self.views: list[judged.PlanView] = []
-        # Each controller's clients have a course of their own, so that all deciders meet the same.
+        # Each controller's clients have their own random numbers, so that all deciders meet the same traffic.
         self.clients: dict[str, random.Random] = {}
         self.shed, self.last_fault, self.first_fault = 0, 0.0, float("inf")
-        # By zone: how much more its clients ask than at first; how much slower its invokers work.
-        self.grown: dict[str, float] = {}
-        self.fulls: dict[str, float] = {}
-        self.slowed: dict[str, float] = {}
+        # By zone: factor of its clients' demand, factor by which its invokers are slower. By invoker: full until when.
+        self.demand_factor: dict[str, float] = {}
+        self.full_until: dict[str, float] = {}
+        self.slowness: dict[str, float] = {}
         mean = sum(self.parameters.run) / 2
         rate = self.parameters.load * invokers * self.parameters.cores / (mean / 1000.0) / size
-        self.sight: dict[str, ZoneState] = {}
+        self.perfect_states: dict[str, ZoneState] = {}
         super().__init__(size, invokers, seed, True, rate, kind=fleet, zones=zones, limits=group_limits, **more)
         self.load = lambda one: self.failover_states[one].meter.figures(self.now) if one in self.failover_states else ()
         self.latency: dict[tuple[str, str], tuple[float, float]] = {}
         for one, other in ((a, b) for a in self.topology.zones for b in self.topology.zones if a < b):
             same = self.topology.same_region(one, other)
             self.latency[one, other] = self.latency[other, one] = (1.0, 3.0) if same else (8.0, 14.0)
-        self._later(0.0, self._see_all)
+        self._later(0.0, self._plan_perfectly)
 
     def regions_of(self, zones: int, regions: int) -> dict[str, str]:
-        """The region of each zone."""
+        """Returns the region of each zone."""
         return {f"z{n}": f"r{n % regions}" for n in range(zones)}
 
     def join(
@@ -171,26 +175,26 @@
         of: int = 1,
     ) -> Group:
         one = super().join(name, address, zone, seeds, number, of)
-        kept = self.ballots.get(name, Ballot() if name in self.voters else None)
-        where = one.about.zone
+        ballot = self.ballots.get(name, Ballot() if name in self.voters else None)
+        home = one.about.zone
         self.failover_states[one] = _FailoverState(
             self.failover_kind(
                 name,
                 self.topology,
                 self.voters,
-                kept,
+                ballot,
                 self.seed * 31 + number,
                 planner_limits=self.planner_limits,
                 replace_after=self.replace_after,
             ),
-            self.steer_kind(where, self.topology),
-            Meter(where),
+            self.steer_kind(home, self.topology),
+            Meter(home),
             Spread(self.seed * 37 + number),
             Planner(self.topology, self.planner_limits),
             Gauge(self.topology, GaugeLimits(self.parameters.cold_share, self.parameters.warm_after)),
             near(self.topology.zones),
         )
-        self._later(self.chance.uniform(0, TICK), lambda: self._plan_tick(one))
+        self._later(self.chance.uniform(0, TICK_MS), lambda: self._plan_tick(one))
         return one
 
     def kill(self, name: str) -> Group:
@@ -198,7 +202,7 @@
         self.failover_states.pop(one)
         return one
 
-    # What rides, and what is told by itself
+    # Data attached to group messages, and messages of failover itself
 
     def _wrapped(self, one: Group, message: Message) -> Any:
         wrapped = super()._wrapped(one, message)
@@ -212,30 +216,30 @@
 
     def _delivered(self, one: Group, message: Any):
         if isinstance(message, Said):
-            return self._plan_heard(one, message)
+            return self._receive_plan(one, message)
         if isinstance(message, tuple) and len(message) == 3:
             super()._delivered(one, message[:2])
-            return self._plan_heard(one, self.plan_codec.decode(message[2]))
+            return self._receive_plan(one, self.plan_codec.decode(message[2]))
         super()._delivered(one, message)
 
-    def _plan_heard(self, one: Group, said: Said):
+    def _receive_plan(self, one: Group, said: Said):
         part, now = self.failover_states.get(one), self._time(one)
         if part is None:
             return
         if said.renewal is not None:
             part.failover.rode(now, said.renewal)
-            self._pass(one, Spread.on(said.renewal, said.pass_on))
+            self._pass_on(one, Spread.on(said.renewal, said.pass_on))
         if said.figures:
             if any(row.name == said.sender for row in one.live()):
                 part.reports.heard(now, said.sender, said.figures)
         if said.word is not None:
-            self._plan_do(one, part.failover.heard(now, said.word))
+            self._carry_out_plan(one, part.failover.heard(now, said.word))
 
-    def _pass(self, one: Group, passes: list[Pass]):
+    def _pass_on(self, one: Group, passes: list[Pass]):
         for passed in passes:
             self.post(one.name, passed.to, Said(one.name, (0, 0), None, passed.renewal, passed.pass_on))
 
-    def _plan_do(self, one: Group, effects: list[Effect]):
+    def _carry_out_plan(self, one: Group, effects: list[Effect]):
         for effect in effects:
             if isinstance(effect, Keep):
                 self.ballots[one.name] = effect.ballot
@@ -244,7 +248,7 @@
                 if row is not None:
                     self.post(one.name, row.address, Said(one.name, (0, 0), effect.word))
 
-    # A controller's part
+    # A controller's planning
 
     def states(self, one: Group) -> dict[str, ZoneState]:
         now, fleet = self._time(one), self.fleets[one]
@@ -271,13 +275,13 @@
     def _plan_tick(self, one: Group):
         if one not in self.failover_states:
             return
-        self._later(TICK, lambda: self._plan_tick(one))
+        self._later(TICK_MS, lambda: self._plan_tick(one))
         if one.name in self.paused or self.decider in ("today", "top"):
             return
         part, now = self.failover_states[one], self._time(one)
         council = part.failover.council
-        if self.decider == "alone" or council.votes or council.in_force(now) is None or not int(now / TICK) % 8:
-            # Who only follows needs them for its own safety alone: looked at now and then.
+        if self.decider == "alone" or council.votes or council.in_force(now) is None or not int(now / TICK_MS) % 8:
+            # A mere follower needs the states for its own safety only, so it checks them less often.
             states = self.states(one)
             part.steer.serves = frozenset(zone for zone, state in states.items() if state.now > 0) or None
             if not states[one.about.zone].warm:
@@ -287,22 +291,22 @@
             if self.decider == "alone":
                 part.plan = part.planner.next(now, states, part.plan) or part.plan
         if self.decider == "common":
-            news = part.meter.news(now)
+            report = part.meter.news(now)
             for voter in council.voters:
-                if news is not None and voter in self.members and voter != one.name:
-                    self.post(one.name, self.members[voter].address, Said(one.name, (0, 0), figures=news))
-            self._plan_do(one, part.failover.tick(now))
+                if report is not None and voter in self.members and voter != one.name:
+                    self.post(one.name, self.members[voter].address, Said(one.name, (0, 0), figures=report))
+            self._carry_out_plan(one, part.failover.tick(now))
             if council.leads(now):
-                self._pass(
+                self._pass_on(
                     one,
                     part.spread.lead(
                         now, council.renewal(now), [row.address for row in one.live() if row.seat != one.me.seat]
                     ),
                 )
 
-    def _see_all(self):
-        """Perfect sight, for `top`."""
-        self._later(TICK, self._see_all)
+    def _plan_perfectly(self):
+        """Plans with perfect knowledge of all zones, for `top`."""
+        self._later(TICK_MS, self._plan_perfectly)
         if self.decider != "top":
             return
         cores = dict.fromkeys(self.topology.zones, 0.0)
@@ -313,13 +317,13 @@
         for member in self.members.values():
             alive[member.about.zone] = alive.get(member.about.zone, 0) + 1
         mean = sum(self.parameters.run) / 2_000.0
-        self.sight = {}
+        self.perfect_states = {}
         for zone in self.topology.zones:
-            asked = alive.get(zone, 0) * self.rate * self.grown.get(zone, 1.0) * mean
-            self.sight[zone] = ZoneState(
+            asked = alive.get(zone, 0) * self.rate * self.demand_factor.get(zone, 1.0) * mean
+            self.perfect_states[zone] = ZoneState(
                 zone, cores[zone], cores[zone], asked * (1 - self.parameters.stays), asked * self.parameters.stays
             )
-        free, bound, caps, _ = Planner(self.topology, self.planner_limits).target(self.sight)
+        free, bound, caps, _ = Planner(self.topology, self.planner_limits).target(self.perfect_states)
         plan = Plan((1, 1), free, bound, caps)
         for part in self.failover_states.values():
             part.plan = plan
@@ -340,16 +344,16 @@
     def _forward(self, one: Group):
         if one not in self.routings:
             return
-        rate = self.rate * self.grown.get(one.about.zone, 1.0)
+        rate = self.rate * self.demand_factor.get(one.about.zone, 1.0)
         clients = self.clients.setdefault(one.name, random.Random(f"{self.seed} {one.name}"))
         self._later(clients.expovariate(rate) * 1000, lambda: self._forward(one))
         bound, work = clients.random() < self.parameters.stays, clients.uniform(*self.parameters.run)
         if one.name in self.paused or not self.routings[one].places:
             return
         self.failover_states[one].meter.arrived(self._time(one), GROUP, bound, sum(self.parameters.run) / 2)
-        self._try(one, self._zones(one, bound), bound, work, self.now, 0)
+        self._attempt(one, self._zones(one, bound), bound, work, self.now, 0)
 
-    def _try(self, one: Group, zones: tuple[str, ...], bound: bool, work: float, since: float, nth: int):
+    def _attempt(self, one: Group, zones: tuple[str, ...], bound: bool, work: float, since: float, nth: int):
         if one not in self.routings:
             return
         home, own = one.about.zone, self.failover_states[one].own
@@ -357,31 +361,31 @@
             place
             for place in self._usable(one)
             if place.zone in (zones if nth or self.decider == "today" else zones[:1])
-            and self.fulls.get(place.address, 0.0) <= self.now
+            and self.full_until.get(place.address, 0.0) <= self.now
         ]
-        if not usable or nth > 1 or self.now - since > SLO:
+        if not usable or nth > 1 or self.now - since > SLO_MS:
             self.shed += not usable
             return self.asked.append((since, home, False))
         if self.decider == "today":
-            near_by = min(self.topology.cost(home, place.zone) for place in usable)
-            usable = [place for place in usable if self.topology.cost(home, place.zone) <= near_by]
-        least = min(own.get(place.address, 0) for place in usable)
-        usable = [place for place in usable if own.get(place.address, 0) == least]
+            lowest_cost = min(self.topology.cost(home, place.zone) for place in usable)
+            usable = [place for place in usable if self.topology.cost(home, place.zone) <= lowest_cost]
+        fewest = min(own.get(place.address, 0) for place in usable)
+        usable = [place for place in usable if own.get(place.address, 0) == fewest]
         place = usable[self.chance.randrange(len(usable))]
         own[place.address] = own.get(place.address, 0) + 1
         invoker, number = self.invokers.get(place.address), next(self.numbers)
         self.figures.forwards += 1
         self.fleets[one].sent(self._time(one), number, place.address)
-        least_way, most_way = self.latency.get((home, place.zone), (0.5, 1.5))
-        way = self.chance.uniform(least_way, most_way)
+        min_delay, max_delay = self.latency.get((home, place.zone), (0.5, 1.5))
+        delay = self.chance.uniform(min_delay, max_delay)
         then = partial(self._ended, one, number, place, bound, work, since, nth, zones)
         if invoker is not None:
             self.in_flight[number] = one, invoker, invoker.boot
-            self._later(way, lambda: self._at_invoker(one, number, invoker, bound, work, nth, way, then))
+            self._later(delay, lambda: self._at_invoker(one, number, invoker, bound, work, nth, delay, then))
 
     def _speed(self, invoker: VirtualInvoker) -> float:
         grown = min(1.0, max(0.0, self.now - invoker.born) / self.parameters.warm_after)
-        return (self.parameters.cold_share + (1 - self.parameters.cold_share) * grown) / self.slowed.get(
+        return (self.parameters.cold_share + (1 - self.parameters.cold_share) * grown) / self.slowness.get(
             invoker.zone, 1.0
         )
 
@@ -393,7 +397,7 @@
         bound: bool,
         work: float,
         nth: int,
-        way: float,
+        delay: float,
         then: Callable[[str, float], None],
     ):
         if number not in self.in_flight:
@@ -403,23 +407,23 @@
             or self.links.between(invoker.name, one.name).cut
             or invoker.hung
         ):
-            return self._later(TTL - SLO, lambda: then("timed out", 0.0))
+            return self._later(TTL_MS - SLO_MS, lambda: then("timed out", 0.0))
         if not invoker.up:
-            return self._later(way, lambda: then("unconnected", 0.0))
+            return self._later(delay, lambda: then("unconnected", 0.0))
         self.reached.append(judged.Reached(self.now, one.name, one.about.zone, invoker.zone, work, bound, nth > 0))
         ends = self.queues.setdefault(invoker.address, deque())
         while ends and ends[0] <= self.now:
             ends.popleft()
         if len(ends) >= self.parameters.queue:
-            return self._later(way, lambda: then("full", 0.0))
-        # Earliest free core of those taken: the queue holds when each of what is there ends.
+            return self._later(delay, lambda: then("full", 0.0))
+        # The queue holds the end times of the accepted work; work begins at the earliest time when a core is free.
         busy = sorted(ends)
         begins = self.now if len(busy) < self.parameters.cores else busy[len(busy) - self.parameters.cores]
         done = begins + work / self._speed(invoker)
         ends.append(done)
         if len(ends) > 1 and ends[-2] > done:
             self.queues[invoker.address] = deque(sorted(ends))
-        self._later(done - self.now + way, lambda: then("returned", done - self.now))
+        self._later(done - self.now + delay, lambda: then("returned", done - self.now))
 
     def _ended(
         self,
@@ -448,8 +452,8 @@
         self.figures.timed_out += outcome == "timed out"
         routing, invoker = self.routings[one], self.invokers[place.address]
         if outcome == "full":
-            # As the module does: no more there for about a run, by any of its inferences.
-            self.fulls[place.address] = self.now + sum(self.parameters.run) / 4
+            # As the policy does: no more forwards to this invoker for about a run time.
+            self.full_until[place.address] = self.now + sum(self.parameters.run) / 4
         if well or outcome == "full":
             routing.avoided_until.pop(place.address, None)
             routing.backoff.pop(place.address, None)
@@ -464,28 +468,28 @@
         )
         self._carry_out(one, [])
         part.steer.ended(now, place.zone, well or outcome == "full")
-        part.meter.ended(now, GROUP, place.zone, self.now - since, "returned" if well else "timed out", True, SLO)
+        part.meter.ended(now, GROUP, place.zone, self.now - since, "returned" if well else "timed out", True, SLO_MS)
         if well:
-            return self.asked.append((since, one.about.zone, self.now - since <= SLO))
-        # What is turned away as full stays in its zone: those that the plan names next are no overflow.
-        self._try(
+            return self.asked.append((since, one.about.zone, self.now - since <= SLO_MS))
+        # After a rejection as full the inference stays in its zone: the plan's next zones are not for overflow.
+        self._attempt(
             one, zones[:1] if outcome == "full" and self.decider != "today" else zones, bound, work, since, nth + 1
         )
 
     # Faults
 
-    def at(self, when: float, act: Callable[[], None]) -> None:
-        """A fault, or its end, at `when` of the world's time."""
+    def at(self, when: float, action: Callable[[], None]) -> None:
+        """Schedules a fault, or its end, at `when` of virtual time."""
 
         def happen():
-            act()
+            action()
             self.last_fault = self.now
 
         self.first_fault = min(self.first_fault, when)
         self._later(when - self.now, happen)
 
     def lose_zones(self, zones: set[str]) -> None:
-        """All invokers of the zones are gone at once."""
+        """Kills all invokers of the zones at once."""
         for invoker in self.invokers.values():
             if invoker.zone in zones and invoker.up:
                 self.down(invoker)
@@ -496,7 +500,7 @@
             self.publish(invoker, gone=True)
 
     def restore_zones(self, zones: set[str]) -> None:
-        """They start anew, cold."""
+        """Starts the lost invokers of the zones again, cold."""
         for invoker in self.invokers.values():
             if invoker.zone in zones and not invoker.up:
                 self.start(invoker)
@@ -504,7 +508,7 @@
     def pause_controllers(self, names: set[str], held: bool) -> None:
         self.paused = self.paused | names if held else self.paused - names
 
-    # Looking
+    # Observation
 
     def observe(self) -> None:
         for name, one in self.members.items():
@@ -520,8 +524,9 @@
                 self.views.append(judged.PlanView(self.now, name, one.start, (0, 0), ""))
 
     def result(self, bounds: judged.FailoverBounds | None = None) -> Came:
+        """Judges the run so far and returns its outcome."""
         begin = 3_000.0
-        told = replace(
+        run_bounds = replace(
             bounds or judged.FailoverBounds(),
             regions=self.topology.regions,
             calm_from=begin,
@@ -529,25 +534,25 @@
             last_fault=self.last_fault,
             live=frozenset(self.members),
         )
-        verdict = judged.check(self.views if self.decider == "common" else [], self.reached, told, self.now)
+        verdict = judged.check(self.views if self.decider == "common" else [], self.reached, run_bounds, self.now)
         broken = [one for one in verdict.broken if self.decider == "common" or one.which == "d"]
         asked = [one for one in self.asked if one[0] >= begin]
-        span = [[0, 0] for _ in range(int(self.now / 1000.0) + 1)]
+        seconds = [[0, 0] for _ in range(int(self.now / 1000.0) + 1)]
         by_zone: dict[str, list[int]] = {zone: [0, 0] for zone in self.topology.zones}
         for at, zone, good in asked:
-            for found in (span[int(at / 1000.0)], by_zone[zone]):
-                found[0] += good
-                found[1] += 1
-        tens = [
-            (sum(one[0] for one in span[n : n + 10]), sum(one[1] for one in span[n : n + 10]))
-            for n in range(int(begin / 1000.0), len(span) - 11)
+            for counts in (seconds[int(at / 1000.0)], by_zone[zone]):
+                counts[0] += good
+                counts[1] += 1
+        windows = [
+            (sum(one[0] for one in seconds[n : n + 10]), sum(one[1] for one in seconds[n : n + 10]))
+            for n in range(int(begin / 1000.0), len(seconds) - 11)
         ]
         return Came(
             self.decider,
             self.seed,
             len(asked),
             sum(good for *_, good in asked) / max(1, len(asked)),
-            min((good / of for good, of in tens if of), default=1.0),
+            min((good / of for good, of in windows if of), default=1.0),
             self.shed / max(1, len(asked)),
             verdict.crossed,
             {zone: round(good / max(1, of), 4) for zone, (good, of) in by_zone.items()},
@@ -558,9 +563,9 @@
         )
 
 
-def zone_lost(world: PlanWorld, span: float = 30_000.0) -> None:
+def zone_lost(world: PlanWorld, duration: float = 30_000.0) -> None:
     world.at(10_000.0, lambda: world.lose_zones({"z0"}))
-    world.at(10_000.0 + span, lambda: world.restore_zones({"z0"}))
+    world.at(10_000.0 + duration, lambda: world.restore_zones({"z0"}))
 
 
 def region_lost(world: PlanWorld) -> None:
@@ -575,60 +580,60 @@
 
 
 def grey(world: PlanWorld) -> None:
-    """Ten times slower, and half of what runs there hangs; health is fine."""
+    """The invokers of a zone are ten times slower and half of them hang, while they report good health."""
 
-    def on():
-        world.slowed["z0"] = 10.0
+    def begin():
+        world.slowness["z0"] = 10.0
         for n, invoker in enumerate(one for one in world.invokers.values() if one.zone == "z0"):
             invoker.hung = n % 2 == 0
 
-    def off():
-        world.slowed.pop("z0")
+    def end():
+        world.slowness.pop("z0")
         for invoker in world.invokers.values():
             invoker.hung = False
 
-    world.at(10_000.0, on)
-    world.at(40_000.0, off)
+    world.at(10_000.0, begin)
+    world.at(40_000.0, end)
 
 
 def rising(world: PlanWorld) -> None:
-    """Load rises to 1.2 of what is left while a zone is lost."""
+    """Load rises to 1.2 times the remaining capacity while a zone is lost."""
 
-    def more(factor: float):
-        world.grown.update(dict.fromkeys(world.topology.zones, factor))
+    def set_demand(factor: float):
+        world.demand_factor.update(dict.fromkeys(world.topology.zones, factor))
 
     zone_lost(world)
-    world.at(15_000.0, lambda: more(1.2 / world.parameters.load * (1 - 1 / len(world.topology.zones))))
-    world.at(30_000.0, lambda: more(1.0))
+    world.at(15_000.0, lambda: set_demand(1.2 / world.parameters.load * (1 - 1 / len(world.topology.zones))))
+    world.at(30_000.0, lambda: set_demand(1.0))
 
 
 def makers_lost(world: PlanWorld) -> None:
-    """The controllers that made the plan die as a zone is lost; another zone a second later; they come back."""
+    """The makers of the plan die as a zone is lost; another zone is lost a second later; the makers restart."""
     zone_lost(world)
 
-    def die():
+    def kill_makers():
         for name in ("c0", "c1"):
             world.kill(name)
 
-    def come_back():
+    def restart():
         for n in (0, 1):
             world.join(f"c{n}", f"a{n}", f"z{n}", number=n, of=len(world.members) + 1)
 
-    world.at(10_500.0, die)
+    world.at(10_500.0, kill_makers)
     world.at(11_000.0, lambda: world.lose_zones({"z1"}))
-    world.at(25_000.0, come_back)
+    world.at(25_000.0, restart)
     world.at(40_000.0, lambda: world.restore_zones({"z1"}))
 
 
 def makers_held(world: PlanWorld) -> None:
-    """They are stopped for 5 s and wake with an old lease."""
+    """The controllers that made the plan are stopped for 5 s and resume with an old lease."""
     zone_lost(world)
     world.at(10_500.0, lambda: world.pause_controllers({"c0", "c1", "c2"}, True))
     world.at(15_500.0, lambda: world.pause_controllers({"c0", "c1", "c2"}, False))
 
 
 def halves(world: PlanWorld) -> None:
-    """Both sides think that the other is gone; a zone is lost meanwhile, the roster dark."""
+    """A partition: each side considers the other gone, while a zone is lost and the roster is down."""
 
     def side(n: int) -> set[str]:
         return {name for name, one in world.members.items() if int(one.about.zone[1:]) % 2 == n}
@@ -642,7 +647,7 @@
 
 
 def clocks(world: PlanWorld) -> None:
-    """Clocks of a third jump minutes ahead, one of a voter among them, while a zone is lost."""
+    """The clocks of a third of the controllers, one voter among them, jump minutes ahead while a zone is lost."""
     zone_lost(world)
     world.at(12_000.0, lambda: world.clock.update({f"c{n}": 180_000.0 for n in range(0, len(world.members), 3)}))
 
@@ -660,7 +665,7 @@
 
 
 def liar(world: PlanWorld) -> None:
-    """One says that its zone is asked a million cores, and that home answers nothing."""
+    """One controller reports a demand of a million cores in its zone, and that the home zone answers nothing."""
 
     def lie():
         one = world.members["c6"]
@@ -693,7 +698,7 @@
     seed: int = 1,
     size: int = 60,
     invokers: int = 36,
-    span: float = 75_000.0,
+    duration: float = 75_000.0,
     every: float = 1_000.0,
     bounds: judged.FailoverBounds | None = None,
     **more: Any,
@@ -701,5 +706,5 @@
     world = PlanWorld(size, invokers, seed, decider, **more)
     world.observe_every(every)
     CASES[case](world)
-    world.run(span)
+    world.run(duration)
     return world.result(bounds)
--- a/sprucespool/lab/world.py
+++ b/sprucespool/lab/world.py
@@ -20,7 +20,7 @@
 from sprucespool.emulator import worker as wk
 from sprucespool.emulator.fleet import VirtualInvoker, status_of
 from sprucespool.emulator.library import Fetch, Library, LibraryFacts
-from sprucespool.emulator.plans import WorldParameters, PlanWorld
+from sprucespool.emulator.plans import PlanWorld, WorldParameters
 from sprucespool.faults import LinkState
 from sprucespool.fleet import Doubt, Place, Told
 from sprucespool.fleet.gateway_inputs import gateway_inputs
