--- a/sprucespool/emulator/hunt.py
+++ b/sprucespool/emulator/hunt.py
@@ -1,7 +1,8 @@
-"""Fault search: courses of faults drawn by chance against all that must hold, and the fewest faults that break it.
+"""Fault search: random courses of faults checked against all invariants, and the fewest faults that break one.
 
-The objects that run in the daemon (`Group`, `Fleet`, `Failover`, `Steer`) in virtual time, all three judges over them.
-A course is plain data; the same course and seed play the same, so a broken one is a bug report (`write`, `read`).
+Runs the classes of the daemon (`Group`, `Fleet`, `Failover`, `Steer`) in virtual time under all three judges. A course
+is plain data; the same course and seed always play alike, so a course that breaks an invariant is a bug report
+(`write`, `read`).
 """
 
 from __future__ import annotations
@@ -40,14 +41,15 @@
     "roster-one": "the roster reaches the controllers `who` alone",
     "rising": "clients in `zone` ask half as much again",
 }
-# Besides those that are drawn blindly: of use only together with others.
+# Further kinds for guided courses only: they have an effect only together with other faults.
 KINDS_GUIDED = {"drained": "half the invokers of `zone` drain, and are replaced when `lasts` is over"}
-FIRST, LAST = 6_000.0, 26_000.0
+# Earliest begin and latest end of a fault.
+FIRST_BEGIN_MS, LAST_END_MS = 6_000.0, 26_000.0
 VOTERS = 3
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """At `at` ms of the course's time it begins, and ends `lasts` later."""
+    """A fault that begins at `at` of the course's time and ends `lasts` later (ms)."""
 
     __args__ = ("kind",)
     kind: str
@@ -68,7 +70,7 @@
 
 
 class Course(msgspec.Struct):
-    """All of one play: `seed` of the world, how many stand in it, its faults. `build`: with which seeded defect."""
+    """Everything that determines one play: seed, sizes, faults, and `build`, the name of a seeded defect or `sound`."""
 
     seed: int = 1
     controllers: int = 9
@@ -91,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Build:
-    """The kinds of which a world is made; a seeded defect is in one of them."""
+    """The classes that a world is made of; a seeded defect is in one of them."""
 
     member: type[Group] = Group
     fleet: type[Fleet] = Fleet
@@ -100,7 +102,7 @@
 
 @dataclass(slots=True)
 class CourseResult:
-    """What a course came to. `events`: how many the queue held."""
+    """Outcome of a course. `events`: how many events were scheduled."""
 
     course: Course
     broken: list[BrokenInvariant]
@@ -112,11 +114,11 @@
 
 
 class HuntWorld(PlanWorld):
-    """Notes besides what the group's judge reads."""
+    """Also notes what the judge of the group reads."""
 
     def __init__(self, course: Course, build: Build):
-        self.parted: dict[str, list[list[str]]] = {}
-        self.uneven: set[str] = set()
+        self.partitions: dict[str, list[list[str]]] = {}
+        self.uneven_links: set[str] = set()
         self.names = {f"c{n}" for n in range(course.controllers)}
         super().__init__(
             course.controllers,
@@ -137,125 +139,125 @@
         self.note_views()
         self.note_members()
 
-    def changed(self) -> None:
-        """What of it concerns the group: a clean part by its sides, all else as uneven."""
-        sides = next(iter(self.parted.values())) if len(self.parted) == 1 and not self.uneven else []
-        uneven = bool(self.uneven) or len(self.parted) > 1
+    def note_link_change(self) -> None:
+        """Notes link changes for the group's judge: a clean partition with its sides, all else as uneven."""
+        sides = next(iter(self.partitions.values())) if len(self.partitions) == 1 and not self.uneven_links else []
+        uneven = bool(self.uneven_links) or len(self.partitions) > 1
         self.noted.append(Faulted(self.now, sides, sorted(self.paused), uneven))
         self.links_changed()
 
     # Faults
 
-    def set(self, fault: Fault) -> None:
+    def schedule(self, fault: Fault) -> None:
         number = id(fault)
 
-        def both(begin: Callable[[], None], end: Callable[[], None]):
+        def schedule_both(begin: Callable[[], None], end: Callable[[], None]):
             self.at(fault.at, begin)
             self.at(fault.at + fault.lasts, end)
 
-        BEGINS[fault.kind](self, fault, f"{fault.kind} {number}", both)
+        BEGINS[fault.kind](self, fault, f"{fault.kind} {number}", schedule_both)
 
     def invokers_of(self, zone: str) -> list[VirtualInvoker]:
         return [invoker for invoker in self.invokers.values() if invoker.zone == zone]
 
 
-Both = Callable[[Callable[[], None], Callable[[], None]], None]
+Schedule = Callable[[Callable[[], None], Callable[[], None]], None]
 
 
-def _lost(world: HuntWorld, fault: Fault, name: str, both: Both):
-    both(lambda: world.lose_zones({fault.zone}), lambda: world.restore_zones({fault.zone}))
+def _lost(world: HuntWorld, fault: Fault, name: str, schedule: Schedule):
+    schedule(lambda: world.lose_zones({fault.zone}), lambda: world.restore_zones({fault.zone}))
 
 
-def _hang(world: HuntWorld, fault: Fault, name: str, both: Both):
-    def hung(yes: bool):
+def _hang(world: HuntWorld, fault: Fault, name: str, schedule: Schedule):
+    def set_hung(hung: bool):
         for invoker in world.invokers_of(fault.zone):
-            invoker.hung = yes
+            invoker.hung = hung
 
-    both(lambda: hung(True), lambda: hung(False))
+    schedule(lambda: set_hung(True), lambda: set_hung(False))
 
 
-def _renew(world: HuntWorld, fault: Fault, name: str, both: Both):
+def _renew(world: HuntWorld, fault: Fault, name: str, schedule: Schedule):
     def begin():
         for invoker in world.invokers_of(fault.zone)[::2]:
             if invoker.up and not invoker.draining:
                 world.replace(invoker, 1_000.0, 300.0)
 
-    both(begin, lambda: None)
+    schedule(begin, lambda: None)
 
 
-def _drained(world: HuntWorld, fault: Fault, name: str, both: Both):
+def _drained(world: HuntWorld, fault: Fault, name: str, schedule: Schedule):
     def begin():
         for invoker in world.invokers_of(fault.zone)[::2]:
             if invoker.up and not invoker.draining:
                 world.replace(invoker, fault.lasts, 300.0)
 
-    both(begin, lambda: None)
+    schedule(begin, lambda: None)
 
 
-def _kill(world: HuntWorld, fault: Fault, name: str, both: Both):
-    homes: dict[str, tuple[str, str, int, int]] = {}
+def _kill(world: HuntWorld, fault: Fault, name: str, schedule: Schedule):
+    places: dict[str, tuple[str, str, int, int]] = {}
 
     def begin():
         for who in sorted(fault.names & set(world.members)):
             one = world.members[who]
-            homes[who] = one.address, one.about.zone, one.about.number, one.about.of
+            places[who] = one.address, one.about.zone, one.about.number, one.about.of
             if fault.kind == "leave":
                 world._send(one, one.leave(world._time(one)))
                 world.noted.append(Ended(world.now, who, "left"))
             world.kill(who)
 
     def end():
-        for who, (address, zone, number, of) in homes.items():
+        for who, (address, zone, number, of) in places.items():
             if who not in world.members:
                 world.join(who, address, zone, None, number, of)
 
-    both(begin, end if fault.kind != "gone" else lambda: None)
+    schedule(begin, end if fault.kind != "gone" else lambda: None)
 
 
-def _hold(world: HuntWorld, fault: Fault, name: str, both: Both):
-    def held(yes: bool):
-        world.pause_controllers(fault.names, yes)
-        world.changed()
+def _hold(world: HuntWorld, fault: Fault, name: str, schedule: Schedule):
+    def set_paused(paused: bool):
+        world.pause_controllers(fault.names, paused)
+        world.note_link_change()
 
-    both(lambda: held(True), lambda: held(False))
+    schedule(lambda: set_paused(True), lambda: set_paused(False))
 
 
-def _part(world: HuntWorld, fault: Fault, name: str, both: Both):
+def _part(world: HuntWorld, fault: Fault, name: str, schedule: Schedule):
     def begin():
         sides = [fault.names, world.names - fault.names]
         world.links.partition(name, sides)
-        world.parted[name] = [sorted(side) for side in sides]
-        world.changed()
+        world.partitions[name] = [sorted(side) for side in sides]
+        world.note_link_change()
 
     def end():
         world.links.heal(name)
-        world.parted.pop(name, None)
-        world.changed()
+        world.partitions.pop(name, None)
+        world.note_link_change()
 
-    both(begin, end)
+    schedule(begin, end)
 
 
-def _uneven(state: LinkState, mine: bool) -> Callable[[HuntWorld, Fault, str, Both], None]:
-    def set_(world: HuntWorld, fault: Fault, name: str, both: Both):
+def _uneven(state: LinkState, outgoing_only: bool) -> Callable[[HuntWorld, Fault, str, Schedule], None]:
+    def schedule_fault(world: HuntWorld, fault: Fault, name: str, schedule: Schedule):
         def begin():
-            if mine:
+            if outgoing_only:
                 world.links.put(name, fault.names, world.names - fault.names, state, both=False)
             else:
                 world.links.put(name, None, None, state)
-            world.uneven.add(name)
-            world.changed()
+            world.uneven_links.add(name)
+            world.note_link_change()
 
         def end():
             world.links.heal(name)
-            world.uneven.discard(name)
-            world.changed()
+            world.uneven_links.discard(name)
+            world.note_link_change()
 
-        both(begin, end)
+        schedule(begin, end)
 
-    return set_
+    return schedule_fault
 
 
-def _roster(world: HuntWorld, fault: Fault, name: str, both: Both):
+def _roster(world: HuntWorld, fault: Fault, name: str, schedule: Schedule):
     def begin():
         if fault.kind == "roster-down":
             world.roster_down()
@@ -267,14 +269,16 @@
         world.only = None
         world.roster_down(False)
 
-    both(begin, end)
+    schedule(begin, end)
 
 
-def _rising(world: HuntWorld, fault: Fault, name: str, both: Both):
-    both(lambda: world.demand_factor.update({fault.zone: 1.5}), lambda: world.demand_factor.update({fault.zone: 1.0}))
+def _rising(world: HuntWorld, fault: Fault, name: str, schedule: Schedule):
+    schedule(
+        lambda: world.demand_factor.update({fault.zone: 1.5}), lambda: world.demand_factor.update({fault.zone: 1.0})
+    )
 
 
-BEGINS: dict[str, Callable[[HuntWorld, Fault, str, Both], None]] = {
+BEGINS: dict[str, Callable[[HuntWorld, Fault, str, Schedule], None]] = {
     "invokers-lost": _lost,
     "hang": _hang,
     "renew": _renew,
@@ -293,63 +297,65 @@
 }
 
 
-def random_course(seed: int, most: int = 5, build: str = "sound") -> Course:
-    """A course by chance: one to `most` faults, all of them over at `LAST`."""
+def random_course(seed: int, max_faults: int = 5, build: str = "sound") -> Course:
+    """A random course: one to `max_faults` faults, all of them over at `LAST_END_MS`."""
     chance = random.Random(f"course {seed}")
     course = Course(seed=seed, build=build)
     faults = []
-    for _ in range(chance.randint(1, most)):
+    for _ in range(chance.randint(1, max_faults)):
         kind = chance.choice(sorted(KINDS))
-        at = float(round(chance.uniform(FIRST, LAST - 4_000.0), -2))
-        lasts = float(round(min(chance.uniform(1_000.0, 15_000.0), LAST - at), -2))
+        at = float(round(chance.uniform(FIRST_BEGIN_MS, LAST_END_MS - 4_000.0), -2))
+        lasts = float(round(min(chance.uniform(1_000.0, 15_000.0), LAST_END_MS - at), -2))
         zone = f"z{chance.randrange(course.zones)}" if kind in ("invokers-lost", "hang", "renew", "rising") else ""
         who = ""
         if kind in ("kill", "leave", "gone", "hold", "part", "one-way", "roster-one"):
-            # Never most of the voters for good: nobody could plan, as is stated.
-            some = chance.sample(
+            # Never a majority of the voters for good: by design nobody could plan then.
+            numbers = chance.sample(
                 range(VOTERS if kind == "gone" else 0, course.controllers),
                 chance.randint(1, course.controllers // (4 if kind == "gone" else 2)),
             )
-            who = ",".join(f"c{n}" for n in sorted(some))
+            who = ",".join(f"c{n}" for n in sorted(numbers))
         faults.append(Fault(kind, at, lasts, zone, who))
     course.faults = sorted(faults, key=lambda fault: fault.at)
     return course
 
 
 def guided_course(seed: int, build: str = "sound") -> Course:
-    """A course drawn at where one word decides, by the seed: ends of invokers that few controllers are told of (odd
-    ones), a side that hears of no renewal (multiples of four), voters that hardly hear each other (the other even
-    ones), while zones go and come."""
+    """A random course aimed at situations where a single message decides; the seed selects the situation.
+
+    Odd seeds: ends of invokers that few controllers are informed of. Multiples of four: a side that receives no
+    renewal. Other even seeds: voters that hardly reach each other. Meanwhile zones fail and return."""
     chance = random.Random(f"guided {seed}")
     course = Course(seed=seed, build=build)
     zone = f"z{chance.randrange(course.zones)}"
 
-    def fault(kind: str, least: float, most: float, zone: str = "", who: list[int] | None = None) -> Fault:
-        at = float(round(chance.uniform(least, most), -2))
-        lasts = float(round(min(chance.uniform(2_000.0, 9_000.0), LAST - at), -2))
+    def fault(kind: str, min_at: float, max_at: float, zone: str = "", who: list[int] | None = None) -> Fault:
+        at = float(round(chance.uniform(min_at, max_at), -2))
+        lasts = float(round(min(chance.uniform(2_000.0, 9_000.0), LAST_END_MS - at), -2))
         return Fault(kind, at, lasts, zone, ",".join(f"c{n}" for n in sorted(who or [])))
 
     if seed % 2:
         few = chance.sample(range(course.controllers), chance.randint(1, 2))
         course.faults = [
-            Fault("roster-one", FIRST, 16_000.0, "", ",".join(f"c{n}" for n in sorted(few))),
-            Fault("drained", FIRST + 1_500.0, 14_000.0, zone),
+            Fault("roster-one", FIRST_BEGIN_MS, 16_000.0, "", ",".join(f"c{n}" for n in sorted(few))),
+            Fault("drained", FIRST_BEGIN_MS + 1_500.0, 14_000.0, zone),
         ]
         course.faults += [
-            fault(chance.choice(["lossy", "slow", "renew"]), FIRST, 14_000.0, zone) for _ in range(chance.randint(0, 1))
+            fault(chance.choice(["lossy", "slow", "renew"]), FIRST_BEGIN_MS, 14_000.0, zone)
+            for _ in range(chance.randint(0, 1))
         ]
     elif seed % 4 == 0:
         side = chance.choice([[0, 1], list(range(VOTERS, VOTERS + chance.randint(1, 4)))])
         course.faults = [
-            Fault("part", FIRST, 18_000.0, "", ",".join(f"c{n}" for n in side)),
-            fault("invokers-lost", FIRST, 14_000.0, zone),
-            fault("rising", FIRST, 14_000.0, zone),
+            Fault("part", FIRST_BEGIN_MS, 18_000.0, "", ",".join(f"c{n}" for n in side)),
+            fault("invokers-lost", FIRST_BEGIN_MS, 14_000.0, zone),
+            fault("rising", FIRST_BEGIN_MS, 14_000.0, zone),
         ]
     else:
         course.faults = [
             fault(
                 chance.choice(["part", "one-way", "hold", "kill"]),
-                FIRST,
+                FIRST_BEGIN_MS,
                 18_000.0,
                 "",
                 chance.sample(range(VOTERS), chance.randint(1, 2)),
@@ -357,16 +363,16 @@
             for _ in range(chance.randint(2, 5))
         ]
         course.faults += [
-            fault(chance.choice(["invokers-lost", "rising"]), FIRST, 18_000.0, f"z{n}")
+            fault(chance.choice(["invokers-lost", "rising"]), FIRST_BEGIN_MS, 18_000.0, f"z{n}")
             for n in chance.sample(range(course.zones), 2)
         ]
-        course.faults.append(fault("slow", FIRST, 10_000.0))
+        course.faults.append(fault("slow", FIRST_BEGIN_MS, 10_000.0))
     course.faults.sort(key=lambda one: one.at)
     return course
 
 
 def cut_off(course: Course) -> list[tuple[frozenset[str], float, float]]:
-    """Who reaches too few voters, and when, by parts that no other fault of links may have opened."""
+    """Returns who reaches too few voters, and when, because of partitions without other link faults at the time."""
     links = [fault for fault in course.faults if fault.kind in ("part", "one-way", "lossy", "slow")]
     every, voters, found = {f"c{n}" for n in range(course.controllers)}, {f"c{n}" for n in range(VOTERS)}, []
     for fault in links:
@@ -382,12 +388,12 @@
 
 
 def play(course: Course, build: Build | None = None, after: float = 50_000.0, every: float = 500.0) -> CourseResult:
-    """One course, to `after` ms beyond its last fault, judged by all that must hold."""
+    """Plays one course until `after` ms beyond its last fault and checks all invariants."""
     world = HuntWorld(course, build or Build())
     world.observe_every(every)
     for fault in course.faults:
-        world.set(fault)
-    last = max((fault.at + fault.lasts for fault in course.faults), default=FIRST)
+        world.schedule(fault)
+    last = max((fault.at + fault.lasts for fault in course.faults), default=FIRST_BEGIN_MS)
     world.run(last + after)
     group = world.group_verdict(group_seen.Bounds(30_000.0, 30_000.0, 45_000.0))
     fleet = world.verdict(fleet_seen.FleetBounds(30_000.0, 2_000.0, 8_000.0, 12_000.0))
@@ -409,22 +415,22 @@
     )
     failover = failover_seen.check(world.views, world.reached, bounds, world.now)
     broken = [
-        BrokenInvariant(f"{part} {one.which}", one.at, one.what)
-        for part, verdict in (("group", group.broken), ("fleet", fleet.broken), ("failover", failover.broken))
+        BrokenInvariant(f"{judge} {one.which}", one.at, one.what)
+        for judge, verdict in (("group", group.broken), ("fleet", fleet.broken), ("failover", failover.broken))
         for one in verdict
     ]
     return CourseResult(course, broken, next(world.number))
 
 
-def shrink(found: CourseResult, again: Callable[[Course], CourseResult]) -> CourseResult:
-    """The fewest faults that still break one of the same: first without each in turn, then each shorter."""
+def shrink(found: CourseResult, replay: Callable[[Course], CourseResult]) -> CourseResult:
+    """Returns the fewest faults that still break one of the same invariants: drops faults, then shortens them."""
     wanted, best = found.which, found
     changed = True
     while changed:
         changed = False
         for n in range(len(best.course.faults)):
-            less = msgspec.structs.replace(best.course, faults=best.course.faults[:n] + best.course.faults[n + 1 :])
-            tried = again(less)
+            fewer = msgspec.structs.replace(best.course, faults=best.course.faults[:n] + best.course.faults[n + 1 :])
+            tried = replay(fewer)
             if tried.which & wanted:
                 best, changed = tried, True
                 break
@@ -432,7 +438,7 @@
         while best.course.faults[n].lasts >= 2_000.0:
             faults = list(best.course.faults)
             faults[n] = msgspec.structs.replace(faults[n], lasts=float(round(faults[n].lasts / 2, -2)))
-            tried = again(msgspec.structs.replace(best.course, faults=faults))
+            tried = replay(msgspec.structs.replace(best.course, faults=faults))
             if not tried.which & wanted:
                 break
             best = tried
--- a/sprucespool/emulator/models.py
+++ b/sprucespool/emulator/models.py
@@ -99,15 +99,20 @@
                     self.broken = f"{name} holds {row.name} {row.state.name.lower()} although it received its leave"
 
     def key(self) -> Hashable:
-        def told(row: Row) -> tuple:
+        def row_key(row: Row) -> tuple:
             return row.name, row.start, row.liveness, row.version, row.accusers
 
         return (
             tuple(
-                (name, one.left, told(one.me), tuple(sorted(told(held.row) for held in one.table.records.values())))
+                (
+                    name,
+                    one.left,
+                    row_key(one.me),
+                    tuple(sorted(row_key(held.row) for held in one.table.records.values())),
+                )
                 for name, one in self.members.items()
             ),
-            tuple(sorted(tuple(map(told, rows)) for rows in self.in_transit)),
+            tuple(sorted(tuple(map(row_key, rows)) for rows in self.in_transit)),
         )
 
     def violation(self) -> str:
