--- a/sprucespool/emulator/fleet.py
+++ b/sprucespool/emulator/fleet.py
@@ -15,7 +15,18 @@
 from typing import Any
 
 from sprucespool.emulator.group import VirtualGroup
-from sprucespool.fleet import Codec, Doubt, Fleet, FleetLimits, Listed, Note, Peer, Place, Send, Told
+from sprucespool.fleet import (
+    Codec,
+    Fleet,
+    FleetLimits,
+    FleetMessage,
+    InvokerState,
+    Listed,
+    Peer,
+    RosterRow,
+    Send,
+    Suspicion,
+)
 from sprucespool.fleet.fleet import STATUS
 from sprucespool.judge import fleet as seen
 from sprucespool.judge import group as group_seen
@@ -44,7 +55,7 @@
     tells: bool = True
 
 
-def status_of(row: Told) -> str:
+def status_of(row: RosterRow) -> str:
     """Returns the status as a roster reports it."""
     return "gone" if row.gone else STATUS[row.listed]
 
@@ -71,13 +82,13 @@
 class _Routing:
     """What a controller routes by: reported places, suspected invokers, invokers that it avoids itself until a time."""
 
-    places: dict[str, Place] = field(default_factory=dict)
+    places: dict[str, InvokerState] = field(default_factory=dict)
     doubted: set[str] = field(default_factory=set)
     avoided_until: dict[str, float] = field(default_factory=dict)
     backoff: dict[str, float] = field(default_factory=dict)
     connected: bool = False
     # Places in service and not suspected; None once that has changed.
-    healthy: list[Place] | None = None
+    healthy: list[InvokerState] | None = None
 
 
 class FleetWorld(VirtualGroup):
@@ -114,12 +125,12 @@
         self.group_noted: list[group_seen.Happened] = []
         self.reported_over_at: dict[tuple[str, str], float] = {}
         self.version, self.roster_up = 0, True
-        self.rows: dict[str, Told] = {}
+        self.rows: dict[str, RosterRow] = {}
         # Names of the controllers that the roster reaches; None stands for all.
         self.only: set[str] | None = None
         self.invokers: dict[str, VirtualInvoker] = {}
         self.fleet_codec = Codec("virtual", "mark")
-        self.encoded: tuple[Note | None, float, bytes] = (None, 0.0, b"")
+        self.encoded: tuple[FleetMessage | None, float, bytes] = (None, 0.0, b"")
         self.seen_rows: dict[tuple[str, int, State, int, int], group_seen.SeenRow] = {}
         self.events_by_controller: list[Any] = []
         self.usable: list[float] = []
@@ -185,9 +196,9 @@
     def _wrapped(self, one: Group, message: Message) -> Any:
         if not self.share or one not in self.fleets:
             return message
-        return message, self._encoded_note(one, self.fleets[one].cargo(self._time(one)))
+        return message, self._encoded_note(one, self.fleets[one].piggyback_message(self._time(one)))
 
-    def _encoded_note(self, one: Group, note: Note) -> bytes:
+    def _encoded_note(self, one: Group, note: FleetMessage) -> bytes:
         """Encodes a note as on the wire, so that times are sent as ages here too."""
         now = self._time(one)
         if self.encoded[0] is not note or self.encoded[1] != now:
@@ -207,13 +218,13 @@
         fleet = self.fleets.get(one)
         if fleet is not None and self.share:
             now = self._time(one)
-            self._carry_out(one, fleet.heard(now, self.fleet_codec.decode(now, data)))
+            self._carry_out(one, fleet.receive(now, self.fleet_codec.decode(now, data)))
 
     def _carry_out(self, one: Group, sends: Iterable[Send]):
         fleet, routing = self.fleets[one], self.routings[one]
         if self.share:
             for send in sends:
-                self.post(one.name, send.to, (None, self._encoded_note(one, send.note)))
+                self.post(one.name, send.to, (None, self._encoded_note(one, send.message)))
         for address in fleet.take_probes():
             self._later(self.chance.uniform(2, 24), partial(self._probed, one, address))
         places, doubts, events = fleet.take()
@@ -235,7 +246,7 @@
 
             self._later(due - self.now, tick_if_due)
 
-    def _view_changed(self, one: Group, places: list[Place], doubts: list[Doubt]):
+    def _view_changed(self, one: Group, places: list[InvokerState], doubts: list[Suspicion]):
         """Called with the changes that the view has just reported; for subclasses."""
 
     def _fleet_tick(self, one: Group):
@@ -248,9 +259,11 @@
 
     # The roster
 
-    def _row(self, invoker: VirtualInvoker, gone: bool = False) -> Told:
+    def _row(self, invoker: VirtualInvoker, gone: bool = False) -> RosterRow:
         listed = Listed.DRAINING if invoker.draining else Listed.IN_SERVICE
-        return Told((invoker.address, invoker.boot), listed, gone, invoker.zone, age=max(0.0, self.now - invoker.born))
+        return RosterRow(
+            (invoker.address, invoker.boot), listed, gone, invoker.zone, age=max(0.0, self.now - invoker.born)
+        )
 
     def _reaches(self, one: Group) -> bool:
         return (
@@ -266,7 +279,7 @@
         after = self.lag * self.chance.uniform(0.7, 1.3) + self.extra
         self._later(after, lambda: self._published(invoker, row))
 
-    def _published(self, invoker: VirtualInvoker, row: Told):
+    def _published(self, invoker: VirtualInvoker, row: RosterRow):
         self.version += 1
         known = self.rows.get(invoker.address)
         if row.gone and known is not None and known.process == row.process:
@@ -281,7 +294,7 @@
                 self.streams[one] = due
                 self._later(due - self.now, partial(self._report_roster, one, False, version, [row]))
 
-    def _report_roster(self, one: Group, whole: bool, version: int, rows: list[Told], source: str = "roster"):
+    def _report_roster(self, one: Group, whole: bool, version: int, rows: list[RosterRow], source: str = "roster"):
         fleet = self.fleets.get(one)
         if fleet is None:
             return
@@ -295,7 +308,7 @@
         fleet.roster(self._time(one), whole, source, version, rows)
         self._carry_out(one, [])
 
-    def old_copy(self, names: Iterable[str], version: int, rows: list[Told]) -> None:
+    def old_copy(self, names: Iterable[str], version: int, rows: list[RosterRow]) -> None:
         """A roster restored from an old copy sends these controllers its full list."""
         for name in names:
             self._report_roster(self.members[name], True, version, rows)
@@ -382,7 +395,7 @@
 
     # Forwards
 
-    def _usable(self, one: Group) -> list[Place]:
+    def _usable(self, one: Group) -> list[InvokerState]:
         routing = self.routings[one]
         if routing.healthy is None:
             places = [place for place in routing.places.values() if place.status == "in service"]
@@ -417,7 +430,7 @@
         self.in_flight[number] = one, invoker, invoker.boot
         self._later(delay, lambda: self._arrive(one, number, invoker, place))
 
-    def _arrive(self, one: Group, number: int, invoker: VirtualInvoker, place: Place):
+    def _arrive(self, one: Group, number: int, invoker: VirtualInvoker, place: InvokerState):
         if number not in self.in_flight:
             return
         cut = self.links.between(one.name, invoker.name).cut or self.links.between(invoker.name, one.name).cut
@@ -500,7 +513,7 @@
                     self.now,
                     name,
                     f"{fleet.digest:016x}",
-                    [(place.address, place.boot, place.status) for place in fleet.told.values()],
+                    [(place.address, place.boot, place.status) for place in fleet.reported.values()],
                 )
             )
 
--- a/sprucespool/emulator/models.py
+++ b/sprucespool/emulator/models.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Hashable, Iterable
 from dataclasses import replace
 
-from sprucespool.failover import Ballot, Council, Keep, Plan, Word
-from sprucespool.fleet import Course, Fleet, Listed, Note, Record, Told
+from sprucespool.failover import Ballot, Council, CouncilMessage, Plan, StoreBallot
+from sprucespool.fleet import Course, Fleet, FleetMessage, Listed, Record, RosterRow
 from sprucespool.membership import About, Group, GroupLimits, Row, State
 from sprucespool.membership.rows import Phase
 from sprucespool.membership.shares import Shares
@@ -324,7 +324,7 @@
                 whole or what == "old copy",
                 "r",
                 step + 1,
-                [Told(("w", boot), listed, gone, age=1_000.0 if boot == "1" else 10.0)],
+                [RosterRow(("w", boot), listed, gone, age=1_000.0 if boot == "1" else 10.0)],
             )
             self.at[name] = step + 1
             self.ended[name] |= step in (1, 2)
@@ -338,7 +338,7 @@
         elif what == "tell":
             self.in_transit.append(tuple(one.view.records.values()))
         elif what == "hear":
-            one.heard(0.0, Note("extra", ("c?", 1), "at-c?", one.digest, 0, self.in_transit[move[2]]))
+            one.receive(0.0, FleetMessage("extra", ("c?", 1), "at-c?", one.digest, 0, self.in_transit[move[2]]))
             for record in self.in_transit[move[2]]:
                 self.ended[name] |= record.process[1] == "1" and record.course() > Course.SERVING
         else:
@@ -349,7 +349,7 @@
     def _watch(self, name: str):
         if self.fleets[name].course(("w", "2")) is not Course.SERVING:
             self.broken = f"{name} considers the serving process ended"
-        place = self.fleets[name].told.get("w")
+        place = self.fleets[name].reported.get("w")
         if place is None or place.boot != "1":
             return
         if self.ended[name] and place.status == "in service":
@@ -365,10 +365,10 @@
                     repr(sorted(one.view.records.items())),
                     one.live,
                     one.version,
-                    one.whole_from,
-                    repr(sorted(one.own.items(), key=repr)),
+                    one.complete_since,
+                    repr(sorted(one.own_rows.items(), key=repr)),
                     one.boots.get("w"),
-                    repr(one.told.get("w")),
+                    repr(one.reported.get("w")),
                     self.at[name],
                     self.ended[name],
                     self.replaced[name],
@@ -388,7 +388,9 @@
         for reverse in (False, True):
             one = self.kind(("m", 1), "at-m", "z")
             for fleet in sorted(self.fleets.values(), key=lambda fleet: fleet.me, reverse=reverse):
-                one.heard(0.0, Note("extra", ("c?", 1), "at-c?", one.digest, 0, tuple(fleet.view.records.values())))
+                one.receive(
+                    0.0, FleetMessage("extra", ("c?", 1), "at-c?", one.digest, 0, tuple(fleet.view.records.values()))
+                )
             merged.append(one)
         return (
             ""
@@ -424,7 +426,7 @@
         self.every = (*self.names, *(f"w{n}" for n in range(spares)))
         self.disks: dict[str, Ballot] = {name: Ballot() for name in self.every}
         self.councils = {name: self._new(name) for name in self.every}
-        self.in_transit: list[tuple[str, Word]] = []
+        self.in_transit: list[tuple[str, CouncilMessage]] = []
         self.leaders: dict[int, str] = {}
         self.plans: dict[tuple[int, int], Plan] = {}
         self.highest: dict[str, tuple[int, int]] = {}
@@ -433,12 +435,12 @@
 
     def _new(self, name: str) -> Council:
         one = self.kind(name, self.names, 1, self.disks[name] if self.keeps else Ballot())
-        one.begun_at, one.wait_until = 0.0, float("inf")
+        one.started_at, one.election_at = 0.0, float("inf")
         return one
 
     def moves(self) -> Iterable[Hashable]:
         for name, one in self.councils.items():
-            if one.role != "leader" and one.votes and len(self.in_transit) < self.max_messages:
+            if one.role != "leader" and one.is_voter and len(self.in_transit) < self.max_messages:
                 yield "stand", name
                 if self.asks:
                     yield "wait over", name
@@ -460,31 +462,31 @@
             name, word = self.in_transit[move[1]]
             # Silence is not counted here: a leader that was just heard may be voted out at any moment.
             one = self.councils[name]
-            one.heard_at = one.lease_until = -1e9
-            effects = one.heard(0.0, word)
+            one.last_beat_at = one.lease_until = -1e9
+            effects = one.receive(0.0, word)
         else:
             name = move[1]
             one = self.councils[name]
             if what == "wait over":
-                effects = one._ask(0.0)
+                effects = one._request_pre_votes(0.0)
             elif what == "stand":
                 # As if a majority had agreed beforehand: that inquiry only keeps terms low; safety does not need it.
-                effects = one._stand(0.0)
+                effects = one._start_election(0.0)
             elif what == "propose":
                 self.proposed += 1
                 effects = one.propose(0.0, Plan((0, 0), {"z": {"z": 1.0}}, {}, reason=f"{name} {self.proposed}"))
             elif what == "reseat":
                 self.reseated += 1
-                effects = one.reseat(0.0, tuple(sorted(set(one.voters) ^ {move[2]})))
+                effects = one.change_voters(0.0, tuple(sorted(set(one.voters) ^ {move[2]})))
             else:
                 self.crashed += 1
                 self.councils[name] = self._new(name)
                 effects = []
         for effect in effects:
-            if isinstance(effect, Keep):
+            if isinstance(effect, StoreBallot):
                 self.disks[name] = effect.ballot
             else:
-                self.in_transit.append((effect.to, effect.word))
+                self.in_transit.append((effect.to, effect.message))
         self._watch(name)
 
     def _watch(self, name: str):
@@ -510,8 +512,8 @@
                 one.leader,
                 one.plan,
                 one.decided,
-                one.renewed,
-                sorted(one.yes),
+                one.renewals,
+                sorted(one.votes_received),
                 sorted((n, sorted(who)) for n, who in one.answers.items()),
             )
             for name, one in self.councils.items()
--- a/sprucespool/failover/gauge.py
+++ b/sprucespool/failover/gauge.py
@@ -1,7 +1,7 @@
-"""From what is known of invokers and told by controllers to the states of the zones. No I/O, no clock.
+"""Estimates the state of each zone from the view of the invokers and from the controllers' reports. No I/O, no clock.
 
-Capacity comes from the fleet's view alone (who serves, how large, how long already, who is doubted): a controller has
-no word in it, so none can lie about it. Load is each controller's own word, bounded by what its zone could carry.
+Capacity comes from the fleet view alone (which invokers serve, their size, their age, which are unreachable), so no
+controller can misreport it. Load is what each controller reports, bounded by what its zone could carry.
 """
 
 from __future__ import annotations
@@ -11,37 +11,38 @@
 from dataclasses import dataclass, field, replace
 
 from sprucespool.failover.plan import Plan
-from sprucespool.failover.planner import ZoneState, carries
+from sprucespool.failover.planner import ZoneState, zone_loads
 from sprucespool.failover.topology import Topology
 
-MOST_MEMBERS = 4_096
+MAX_MEMBERS = 4_096
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
-    """An invoker that serves. `age`: ms it runs, None where nobody told; `ill`: others cannot reach it."""
+class ServingInvoker:
+    """An invoker that serves. `age`: ms since its start, None if unknown. `unreachable`: other members cannot reach
+    it."""
 
     zone: str
     size: float
     age: float | None = None
-    ill: bool = False
+    unreachable: bool = False
     cell: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Loaded:
-    """A controller's word: cores asked by what enters at it, cores that its own zone did for it, the parts of what it
-    sent there that came back, and that came in SLO time (-1: not known). `at`: when it said so, None where that is not
-    known."""
+class LoadReport:
+    """A controller's report: cores that its clients' inferences need (`free`, and `bound` to the region), cores that
+    its own zone delivered to it, the shares of its forwards there that returned, and that returned in SLO time (-1: not
+    known). `reported_at`: when it was made, None if unknown."""
 
     zone: str
     free: float
     bound: float
-    did: float = 0.0
-    well: float = -1.0
-    soon: float = -1.0
+    home_cores: float = 0.0
+    returned_share: float = -1.0
+    in_time_share: float = -1.0
     name: str = ""
-    at: float | None = None
+    reported_at: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,184 +51,206 @@
 
     cold_share: float = 0.25
     warm_after: float = 15_000.0
-    # Cores that a unit of a roster's size stands for.
-    cores: float = 1.0
-    # A zone that brings less than this part of its own traffic back can take no more than it does: all of its cores
-    # where there is just too much work, a part where invokers hang or fail though their health looks fine.
-    grey: float = 0.5
-    least_trust: float = 0.04
-    # Believed again twice as much at a time while so much comes back, and in time: of a trickle all comes back from
-    # invokers that are ten times too slow for more. After each relapse the steps are twice as long, up to the most.
-    regain_every: float = 3_000.0
-    regain_most: float = 24_000.0
-    # While less than this part of all capacity is believed, the fault is none of a zone's (a library that is slow, a
-    # cold start): all of them are used, or most would be shed for what no other zone does better.
-    panic: float = 0.5
-    # All of it is forgotten when a zone was believed whole for so long.
-    forgive: float = 60_000.0
-    well: float = 0.8
-    # Of a member's own word no more counts than so many times the middle one's, where so many tell.
-    most_of_middle: float = 3.0
-    judged_from: int = 5
-    # A member that is heard of no more may be dead, or cut off with all its clients: what it asked of its own zone is
-    # kept free there for so long.
-    remember: float = 30_000.0
-    # What is asked is evened out over so long, as a plan that runs after each burst comes too late for all of them;
-    # what rises counts sooner than what falls.
-    rise: float = 400.0
-    fall: float = 1_500.0
+    # Cores per unit of size in the roster.
+    cores_per_size_unit: float = 1.0
+    # A zone that returns less than this share of its own traffic (a grey failure) counts with no more capacity than the
+    # work it does: all of its cores where there is just too much work, a share of them where invokers hang or fail
+    # although they look healthy.
+    grey_threshold: float = 0.5
+    min_trust: float = 0.04
+    # Trust doubles at this interval while at least `regain_threshold` of the traffic returns, and in time: invokers
+    # that are ten times too slow still return all of very little traffic. Each relapse doubles the interval, up to
+    # `max_regain_interval`.
+    regain_interval: float = 3_000.0
+    max_regain_interval: float = 24_000.0
+    # If less than this share of all capacity is trusted, the cause is not in single zones (a slow model library, a cold
+    # start): all zones are used fully. Otherwise most traffic would be shed though no other zone does better.
+    panic_threshold: float = 0.5
+    # Past relapses are forgotten when a zone was fully trusted for this time.
+    relapse_memory: float = 60_000.0
+    regain_threshold: float = 0.8
+    # The load that a member reports counts only up to this multiple of the median, if enough members report.
+    max_median_multiple: float = 3.0
+    min_reports_for_median: int = 5
+    # A member without reports may be dead, or cut off together with its clients: the capacity that it used in its own
+    # zone stays reserved there for this time.
+    absent_load_lifetime: float = 30_000.0
+    # Time constants that smooth the demand, as a plan that follows each burst is too late for all of them. Rising
+    # demand counts sooner than falling demand.
+    rise_time: float = 400.0
+    fall_time: float = 1_500.0
 
 
 @dataclass(slots=True)
 class Reports:
-    """The figures of each member: told directly of late, or else by its row in the group. Among 300 a row's word is
-    half a minute old when it comes: taken for newer than what was told directly, it hid most of the load."""
+    """The measurements of each member: its direct report while fresh, else those of its row in the group. Among 300
+    members a row is half a minute old when it arrives; when it replaced newer direct reports, it hid most of the
+    load."""
 
-    most: int = 4_096
-    # ms that what was told directly counts: two tellings may be missed.
-    fresh: float = 12_000.0
+    max_members: int = 4_096
+    # ms that a direct report counts: two reports may be missed.
+    freshness: float = 12_000.0
     direct: dict[str, tuple[tuple[float, ...], float]] = field(default_factory=dict)
 
-    def heard(self, now: float, name: str, figures: tuple[float, ...]) -> None:
-        if name in self.direct or len(self.direct) < self.most:
+    def receive(self, now: float, name: str, figures: tuple[float, ...]) -> None:
+        if name in self.direct or len(self.direct) < self.max_members:
             self.direct[name] = figures, now
 
     def of(self, now: float, name: str, row: tuple[float, ...]) -> tuple[tuple[float, ...], float | None]:
-        """The figures, and when they were said: None where it was by the row."""
+        """The measurements and when they were reported; the time is None if they come from the row."""
         figures, at = self.direct.get(name, (row, -math.inf))
-        return (figures, at) if now - at < self.fresh else (row, None)
+        return (figures, at) if now - at < self.freshness else (row, None)
 
     def keep(self, names: Iterable[str]) -> None:
-        """Forget all others."""
+        """Forget all members but these."""
         known = set(names)
         self.direct = {name: one for name, one in self.direct.items() if name in known}
 
 
 @dataclass(slots=True, eq=False)
 class Gauge:
-    """Keeps how far each zone is believed; all else follows from what it is handed."""
+    """Keeps the trust in each zone and the smoothed demand; computes zone states from its inputs."""
 
     topology: Topology
     limits: GaugeLimits = field(default_factory=GaugeLimits)
     trust: dict[str, float] = field(default_factory=dict)
-    changed: dict[str, float] = field(default_factory=dict)
-    # By zone: how long a step back to being believed takes, and whether one was taken since the last fall.
-    steps: dict[str, float] = field(default_factory=dict)
-    regained: set[str] = field(default_factory=set)
-    # By zone: what is asked (free, bound), evened out; when that was.
-    asked: dict[str, tuple[float, float]] = field(default_factory=dict)
-    asked_at: float = math.nan
-    # By zone: cores that each of its cells can take now, as far as the roster tells cells. For operators: a lost cell
-    # is a zone with less to take, and traffic enters at zones.
+    trust_changed_at: dict[str, float] = field(default_factory=dict)
+    # By zone: the current regain interval, and whether trust was regained since it last fell.
+    regain_steps: dict[str, float] = field(default_factory=dict)
+    regaining: set[str] = field(default_factory=set)
+    # By zone: the smoothed demand (free, bound), and when it was updated.
+    demand: dict[str, tuple[float, float]] = field(default_factory=dict)
+    demand_at: float = math.nan
+    # By zone: cores that each of its cells can take now, where the roster names cells. Shown to operators only: plans
+    # go by zone, where a lost cell is a loss of capacity.
     cells: dict[str, dict[str, float]] = field(default_factory=dict)
-    # By zone: when nothing stood there last.
-    empty: dict[str, float] = field(default_factory=dict)
-    # By member: zone, cores asked, when that was told last.
-    last: dict[str, tuple[str, float, float]] = field(default_factory=dict)
+    # By zone: when it last had no usable invokers.
+    empty_at: dict[str, float] = field(default_factory=dict)
+    # By member: zone, cores needed, time of its last report.
+    last_reports: dict[str, tuple[str, float, float]] = field(default_factory=dict)
 
     def states(
-        self, now: float, standing: Iterable[Standing], loaded: Iterable[Loaded], plan: Plan | None = None
+        self, now: float, invokers: Iterable[ServingInvoker], reports: Iterable[LoadReport], plan: Plan | None = None
     ) -> dict[str, ZoneState]:
-        """The state of each zone of the topology; what stands in no known zone counts nowhere. `plan`: in force."""
+        """The state of each zone of the topology; unknown zones are ignored. `plan`: the one in force."""
         limits, zones = self.limits, self.topology.zones
-        takes, warm = dict.fromkeys(zones, 0.0), dict.fromkeys(zones, 0.0)
+        capacity, warm = dict.fromkeys(zones, 0.0), dict.fromkeys(zones, 0.0)
         self.cells = {}
-        for one in standing:
-            if one.zone in takes and one.cell:
+        for one in invokers:
+            if one.zone in capacity and one.cell:
                 self.cells.setdefault(one.zone, {}).setdefault(one.cell, 0.0)
-            if one.zone in takes and not one.ill:
-                size = max(0.0, one.size) * limits.cores
-                grown = 1.0 if one.age is None else min(1.0, max(0.0, one.age) / limits.warm_after)
+            if one.zone in capacity and not one.unreachable:
+                size = max(0.0, one.size) * limits.cores_per_size_unit
+                warmed = 1.0 if one.age is None else min(1.0, max(0.0, one.age) / limits.warm_after)
                 warm[one.zone] += size
-                can = size * (limits.cold_share + (1.0 - limits.cold_share) * grown)
-                takes[one.zone] += can
+                available = size * (limits.cold_share + (1.0 - limits.cold_share) * warmed)
+                capacity[one.zone] += available
                 if one.cell:
-                    self.cells[one.zone][one.cell] += can
+                    self.cells[one.zone][one.cell] += available
         for zone in zones:
             if not warm[zone]:
-                # Whoever comes there is another, of whom nothing is known: believed, until it falls as well.
-                self.empty[zone] = now
+                # Invokers that start there later are others: they are trusted until they fail as well.
+                self.empty_at[zone] = now
                 if self.trust.pop(zone, 1.0) < 1.0:
-                    self.changed[zone] = now
-                    self.regained.add(zone)
+                    self.trust_changed_at[zone] = now
+                    self.regaining.add(zone)
         free, bound = dict.fromkeys(zones, 0.0), dict.fromkeys(zones, 0.0)
-        did = dict.fromkeys(zones, 0.0)
-        said: dict[str, list[tuple[float, float]]] = {zone: [] for zone in zones}
-        most = max([*warm.values(), 0.0])
-        members = [one for one in loaded if one.zone in free]
-        told_loads = sorted(load for one in members if (load := max(0.0, one.free) + max(0.0, one.bound)) > 0)
-        if len(told_loads) >= limits.judged_from:
-            most = min(most, limits.most_of_middle * told_loads[len(told_loads) // 2])
-        heard_of = set()
-        for told in members:
-            # What a controller says of its load could be anything: no more of it counts than could well be.
-            asks = max(0.0, told.free) + max(0.0, told.bound)
-            part = min(1.0, most / asks) if asks > 0 else 0.0
-            heard_of.add(told.name)
-            if told.name and (told.name in self.last or len(self.last) < MOST_MEMBERS):
-                self.last[told.name] = told.zone, part * asks, now
-            free[told.zone] += part * max(0.0, told.free)
-            bound[told.zone] += part * max(0.0, told.bound)
-            did[told.zone] += max(0.0, told.did)
-            if told.well >= 0.0 and self._since(now, told):
-                said[told.zone].append((min(1.0, told.well), told.soon if told.soon >= 0.0 else told.well))
-        for name, (zone, cores, at) in list(self.last.items()):
-            if now - at > limits.remember:
-                del self.last[name]
-            elif name not in heard_of:
-                takes[zone] -= min(cores, takes[zone])
-        self._even(now, free, bound)
+        home_cores = dict.fromkeys(zones, 0.0)
+        health: dict[str, list[tuple[float, float]]] = {zone: [] for zone in zones}
+        max_load = max([*warm.values(), 0.0])
+        members = [one for one in reports if one.zone in free]
+        reported_loads = sorted(load for one in members if (load := max(0.0, one.free) + max(0.0, one.bound)) > 0)
+        if len(reported_loads) >= limits.min_reports_for_median:
+            max_load = min(max_load, limits.max_median_multiple * reported_loads[len(reported_loads) // 2])
+        reporting = set()
+        for report in members:
+            # A controller may report any load: it counts only up to a plausible limit.
+            asked_cores = max(0.0, report.free) + max(0.0, report.bound)
+            scale = min(1.0, max_load / asked_cores) if asked_cores > 0 else 0.0
+            reporting.add(report.name)
+            if report.name and (report.name in self.last_reports or len(self.last_reports) < MAX_MEMBERS):
+                self.last_reports[report.name] = report.zone, scale * asked_cores, now
+            free[report.zone] += scale * max(0.0, report.free)
+            bound[report.zone] += scale * max(0.0, report.bound)
+            home_cores[report.zone] += max(0.0, report.home_cores)
+            if report.returned_share >= 0.0 and self._reported_since_empty(now, report):
+                health[report.zone].append(
+                    (
+                        min(1.0, report.returned_share),
+                        report.in_time_share if report.in_time_share >= 0.0 else report.returned_share,
+                    )
+                )
+        for name, (zone, cores, at) in list(self.last_reports.items()):
+            if now - at > limits.absent_load_lifetime:
+                del self.last_reports[name]
+            elif name not in reporting:
+                capacity[zone] -= min(cores, capacity[zone])
+        self._smooth_demand(now, free, bound)
         states = {
             zone: ZoneState(
                 zone,
-                round(takes[zone], 3),
+                round(capacity[zone], 3),
                 round(warm[zone], 3),
-                round(self.asked[zone][0], 3),
-                round(self.asked[zone][1], 3),
+                round(self.demand[zone][0], 3),
+                round(self.demand[zone][1], 3),
             )
             for zone in zones
         }
-        carried = carries(states, plan) if plan is not None else {}
+        carried = zone_loads(states, plan) if plan is not None else {}
         for zone in zones:
-            # The middle one's word: a single controller that lies or is ill itself makes no zone grey.
-            heard = sorted(well for well, _ in said[zone])
-            soon = sorted(soon for _, soon in said[zone])
-            if heard and takes[zone] > 0:
-                # What others' traffic gets there is as much of its part as what the own traffic gets.
-                own = carries({zone: states[zone]}, plan).get(zone, 0.0) if plan is not None else 0.0
-                does = did[zone] * (carried[zone] / own if own > 0 else 1.0)
-                self._weigh(now, zone, heard[len(heard) // 2], soon[len(soon) // 2], min(1.0, does / takes[zone]))
-        believed = sum(takes[zone] * self.trust.get(zone, 1.0) for zone in zones)
-        if believed < limits.panic * sum(takes.values()):
+            # The median counts, so that a single controller that misreports or has faults itself degrades no zone.
+            returned = sorted(share for share, _ in health[zone])
+            in_time = sorted(share for _, share in health[zone])
+            if returned and capacity[zone] > 0:
+                # The work done for other zones' traffic is assumed to be in proportion to that for the own traffic.
+                own = zone_loads({zone: states[zone]}, plan).get(zone, 0.0) if plan is not None else 0.0
+                done_cores = home_cores[zone] * (carried[zone] / own if own > 0 else 1.0)
+                self._update_trust(
+                    now,
+                    zone,
+                    returned[len(returned) // 2],
+                    in_time[len(in_time) // 2],
+                    min(1.0, done_cores / capacity[zone]),
+                )
+        trusted_capacity = sum(capacity[zone] * self.trust.get(zone, 1.0) for zone in zones)
+        if trusted_capacity < limits.panic_threshold * sum(capacity.values()):
             return states
         return {zone: replace(state, trust=round(self.trust.get(zone, 1.0), 2)) for zone, state in states.items()}
 
-    def _since(self, now: float, told: Loaded) -> bool:
-        """Whether it speaks of who stands there now. Seen: a zone that was lost came back, and for 16 s got a
-        twenty-fifth of its traffic by what members had said of the ones before."""
-        empty = self.empty.get(told.zone, -math.inf)
-        return told.at > empty if told.at is not None else now - empty > self.limits.remember
+    def _reported_since_empty(self, now: float, report: LoadReport) -> bool:
+        """Whether the report is about the invokers that are in the zone now. Without this check a zone that came back
+        got a twenty-fifth of its traffic for 16 s, because of reports about its earlier invokers."""
+        emptied_at = self.empty_at.get(report.zone, -math.inf)
+        return (
+            report.reported_at > emptied_at
+            if report.reported_at is not None
+            else now - emptied_at > self.limits.absent_load_lifetime
+        )
 
-    def _even(self, now: float, free: Mapping[str, float], bound: Mapping[str, float]):
-        since = math.inf if math.isnan(self.asked_at) else max(0.0, now - self.asked_at)
+    def _smooth_demand(self, now: float, free: Mapping[str, float], bound: Mapping[str, float]):
+        elapsed = math.inf if math.isnan(self.demand_at) else max(0.0, now - self.demand_at)
         for zone in free:
-            old, new = self.asked.get(zone, (free[zone], bound[zone])), (free[zone], bound[zone])
-            tau = self.limits.rise if sum(new) > sum(old) else self.limits.fall
-            part = 1.0 - math.exp(-since / tau)
-            self.asked[zone] = old[0] + part * (new[0] - old[0]), old[1] + part * (new[1] - old[1])
-        self.asked_at = now
+            old, new = self.demand.get(zone, (free[zone], bound[zone])), (free[zone], bound[zone])
+            tau = self.limits.rise_time if sum(new) > sum(old) else self.limits.fall_time
+            weight = 1.0 - math.exp(-elapsed / tau)
+            self.demand[zone] = old[0] + weight * (new[0] - old[0]), old[1] + weight * (new[1] - old[1])
+        self.demand_at = now
 
-    def _weigh(self, now: float, zone: str, well: float, soon: float, does: float):
+    def _update_trust(self, now: float, zone: str, returned_share: float, in_time_share: float, done_share: float):
         trust, limits = self.trust.get(zone, 1.0), self.limits
-        step = self.steps.get(zone, limits.regain_every)
-        if well < limits.grey and trust > max(limits.least_trust, does) + 0.05:
-            self.trust[zone], self.changed[zone] = max(limits.least_trust, does), now
-            if zone in self.regained:
-                self.regained.discard(zone)
-                self.steps[zone] = min(limits.regain_most, 2 * step)
-        elif trust < 1.0 and min(well, soon) >= limits.well and now - self.changed.get(zone, 0.0) >= step:
-            self.trust[zone], self.changed[zone] = min(1.0, 2.0 * trust), now
-            self.regained.add(zone)
-        elif trust == 1.0 and now - self.changed.get(zone, now) >= limits.forgive:
-            self.steps.pop(zone, None)
-            self.regained.discard(zone)
+        step = self.regain_steps.get(zone, limits.regain_interval)
+        if returned_share < limits.grey_threshold and trust > max(limits.min_trust, done_share) + 0.05:
+            self.trust[zone], self.trust_changed_at[zone] = max(limits.min_trust, done_share), now
+            if zone in self.regaining:
+                self.regaining.discard(zone)
+                self.regain_steps[zone] = min(limits.max_regain_interval, 2 * step)
+        elif (
+            trust < 1.0
+            and min(returned_share, in_time_share) >= limits.regain_threshold
+            and now - self.trust_changed_at.get(zone, 0.0) >= step
+        ):
+            self.trust[zone], self.trust_changed_at[zone] = min(1.0, 2.0 * trust), now
+            self.regaining.add(zone)
+        elif trust == 1.0 and now - self.trust_changed_at.get(zone, now) >= limits.relapse_memory:
+            self.regain_steps.pop(zone, None)
+            self.regaining.discard(zone)
--- a/sprucespool/failover/spread.py
+++ b/sprucespool/failover/spread.py
@@ -1,7 +1,7 @@
-"""How the plan in force reaches all: by a tree of two steps from who leads, and on whatever is said anyway. No I/O.
+"""Distributes the plan in force to all controllers, over a tree of two levels from the leader. No I/O.
 
-Messages of the group alone would do, but slowly: at 300 members the last one hears after many periods, and whoever
-hears no renewal for long goes by the safe plan.
+The plan also travels with every message of the group. That alone would be too slow: among 300 members the last one
+would receive it after many periods, and a controller without renewals falls back to the fallback plan.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pass:
-    """Tell `renewal` at an address, which tells it on to `pass_on`."""
+class RenewalDelivery:
+    """Send `renewal` to an address, whose controller forwards it to `pass_on`."""
 
     to: str
     renewal: Renewal
@@ -25,28 +25,28 @@
 
 @dataclass(slots=True, eq=False)
 class Spread:
-    """`every`: ms between renewals told to all; a new plan is told at once."""
+    """`interval`: ms between renewals; a new plan is sent at once."""
 
     seed: int = 1
-    every: float = 2_000.0
+    interval: float = 2_000.0
     epoch: tuple[int, int] = (0, 0)
-    told_at: float = -math.inf
-    drawn: int = 0
+    sent_at: float = -math.inf
+    draws: int = 0
 
-    def lead(self, now: float, renewal: Renewal | None, others: Sequence[str]) -> list[Pass]:
-        """At who leads, as often as it likes."""
-        if renewal is None or renewal.plan.epoch == self.epoch and now - self.told_at < self.every:
+    def distribute(self, now: float, renewal: Renewal | None, others: Sequence[str]) -> list[RenewalDelivery]:
+        """Called by the leader, at any rate: the deliveries that are due now."""
+        if renewal is None or renewal.plan.epoch == self.epoch and now - self.sent_at < self.interval:
             return []
-        self.epoch, self.told_at = renewal.plan.epoch, now
+        self.epoch, self.sent_at = renewal.plan.epoch, now
         addresses = sorted(others)
-        for place in range(len(addresses) - 1, 0, -1):
-            self.drawn += 1
-            other = zlib.crc32(b"%d:%d" % (self.seed, self.drawn)) % (place + 1)
-            addresses[place], addresses[other] = addresses[other], addresses[place]
-        heads = math.ceil(math.sqrt(len(addresses)))
-        return [Pass(addresses[n], renewal, tuple(addresses[heads + n :: heads])) for n in range(heads)]
+        for index in range(len(addresses) - 1, 0, -1):
+            self.draws += 1
+            other = zlib.crc32(b"%d:%d" % (self.seed, self.draws)) % (index + 1)
+            addresses[index], addresses[other] = addresses[other], addresses[index]
+        relays = math.ceil(math.sqrt(len(addresses)))
+        return [RenewalDelivery(addresses[n], renewal, tuple(addresses[relays + n :: relays])) for n in range(relays)]
 
     @staticmethod
-    def on(renewal: Renewal, pass_on: Sequence[str]) -> list[Pass]:
-        """At whoever was told with others to tell: the second step, and the last."""
-        return [Pass(to, renewal) for to in pass_on]
+    def relay(renewal: Renewal, pass_on: Sequence[str]) -> list[RenewalDelivery]:
+        """At a controller that received `pass_on`: the second level of the tree, which is the last."""
+        return [RenewalDelivery(to, renewal) for to in pass_on]
--- a/sprucespool/fleet/__init__.py
+++ b/sprucespool/fleet/__init__.py
@@ -1,39 +1,39 @@
-"""What controllers know of the invokers among themselves: facts that are never taken back, opinions that lapse.
+"""The view of the invokers that controllers share: facts that are never revoked, and opinions that expire.
 
-`Fleet` is one controller's part; `Codec` its notes as bytes. No I/O, no clock.
+`Fleet` is one controller's view; `Codec` encodes its messages and snapshots. No I/O and no clock.
 """
 
-from sprucespool.fleet.codec import Codec, NoteError
+from sprucespool.fleet.codec import Codec, FleetMessageError
 from sprucespool.fleet.fleet import Fleet, FleetLimits, Peer
-from sprucespool.fleet.notes import Doubt, Happened, Note, Place, Send, Told
-from sprucespool.fleet.opinions import Judged, OpinionLimits, Weighing, judged
-from sprucespool.fleet.records import Course, Listed, Listing, Opinion, Process, Record, Witness, Word, merged
+from sprucespool.fleet.messages import FleetEvent, FleetMessage, InvokerState, RosterRow, Send, Suspicion
+from sprucespool.fleet.opinions import Assessment, IncrementalAssessment, OpinionLimits, assess
+from sprucespool.fleet.records import Course, CourseClaim, Listed, Listing, Opinion, Process, Record, Witness, merged
 from sprucespool.fleet.view import View
 
 __all__ = [
     "Codec",
     "Course",
-    "Doubt",
+    "Suspicion",
     "Fleet",
     "FleetLimits",
-    "Happened",
-    "Judged",
+    "FleetEvent",
+    "Assessment",
     "Listed",
     "Listing",
-    "Note",
-    "NoteError",
+    "FleetMessage",
+    "FleetMessageError",
     "Opinion",
     "OpinionLimits",
     "Peer",
-    "Place",
+    "InvokerState",
     "Process",
     "Record",
     "Send",
-    "Told",
+    "RosterRow",
     "View",
-    "Weighing",
+    "IncrementalAssessment",
     "Witness",
-    "Word",
-    "judged",
+    "CourseClaim",
+    "assess",
     "merged",
 ]
--- a/sprucespool/fleet/opinions.py
+++ b/sprucespool/fleet/opinions.py
@@ -1,4 +1,7 @@
-"""What to make of others' opinions of invokers: they bend choices, never forbid alone, never empty the fleet."""
+"""Evaluates other controllers' opinions of invokers.
+
+Opinions change which invokers are preferred; one observer alone excludes none, and opinions never exclude a whole zone.
+"""
 
 from __future__ import annotations
 
@@ -8,68 +11,82 @@
 from sprucespool.fleet.records import Course, Process, Record, Witness
 from sprucespool.fleet.view import View
 
-BAD = ("silent", "refused", "failing")
+BAD_KINDS = ("silent", "refused", "failing")
 
 
 @dataclass(frozen=True, slots=True)
 class OpinionLimits:
-    """`observers`: controllers that must agree; `most_out`: the part of a zone that opinions may set aside."""
+    """`observers`: controllers that must agree. `max_excluded_share`: share of a zone that opinions may exclude.
+    `opinion_lifetime`: ms after which an opinion expires."""
 
     observers: int = 2
-    most_out: float = 0.5
-    fresh: float = 15_000.0
+    max_excluded_share: float = 0.5
+    opinion_lifetime: float = 15_000.0
 
 
 @dataclass(frozen=True, slots=True)
-class Judged:
-    """Processes to be left aside as seen from a zone, by why; `panic`: zones in which so many would be out that all
-    are in again."""
+class Assessment:
+    """Excluded processes as seen from a zone, each with the reason. `panic`: zones in which so many processes would be
+    excluded that none are."""
 
-    out: dict[Process, str]
+    excluded: dict[Process, str]
     panic: tuple[str, ...]
 
 
-def _why(now: float, record: Record, zone: str, limits: OpinionLimits, believed: Callable[[Witness], bool]) -> str:
-    """Why the process is to be left aside as seen from the zone; empty if it is not."""
-    fresh = [one for one in record.opinions.items() if now - one[1].at < limits.fresh and believed(one[0])]
+def _exclusion_reason(
+    now: float, record: Record, zone: str, limits: OpinionLimits, believed: Callable[[Witness], bool]
+) -> str:
+    """Returns why the process is excluded as seen from the zone; empty if it is not."""
+    fresh = [one for one in record.opinions.items() if now - one[1].at < limits.opinion_lifetime and believed(one[0])]
     near = [one for one in fresh if one[1].zone == zone] or fresh
-    bad = {observer[0] for observer, opinion in near if opinion.kind in BAD}
+    bad = {observer[0] for observer, opinion in near if opinion.kind in BAD_KINDS}
     well = {observer[0] for observer, opinion in near if opinion.kind == "well"}
     if len(bad) >= limits.observers and len(bad) > len(well):
         return f"{', '.join(sorted(bad)[:4])} can't reach it"
     return ""
 
 
-def _settled(out: dict[Process, str], where: dict[Process, str], size: dict[str, int], most_out: float) -> Judged:
-    lost: dict[str, int] = {}
-    for process in out:
-        lost[where[process]] = lost.get(where[process], 0) + 1
-    panic = tuple(sorted(name for name, count in lost.items() if count > most_out * size.get(name, 0)))
-    return Judged({process: why for process, why in out.items() if where[process] not in panic}, panic)
-
-
-def judged(
+def _limited(
+    excluded: dict[Process, str],
+    zone_by_process: dict[Process, str],
+    zone_sizes: dict[str, int],
+    max_excluded_share: float,
+) -> Assessment:
+    excluded_by_zone: dict[str, int] = {}
+    for process in excluded:
+        excluded_by_zone[zone_by_process[process]] = excluded_by_zone.get(zone_by_process[process], 0) + 1
+    panic = tuple(
+        sorted(name for name, count in excluded_by_zone.items() if count > max_excluded_share * zone_sizes.get(name, 0))
+    )
+    return Assessment(
+        {process: reason for process, reason in excluded.items() if zone_by_process[process] not in panic}, panic
+    )
+
+
+def assess(
     now: float,
     records: Iterable[Record],
     zone: str,
-    own: set[Process],
+    with_own_evidence: set[Process],
     limits: OpinionLimits,
     believed: Callable[[Witness], bool] = lambda witness: True,
-) -> Judged:
-    """As seen by a controller in `zone`. `own`: processes that this controller's own answers speak for: they outrank
-    all that is told. Observers of the own zone count; where the zone has none for an invoker, those of others do.
-    Goes through all records: the slow model of `Weighing`."""
-    out: dict[Process, str] = {}
-    size: dict[str, int] = {}
-    where: dict[Process, str] = {}
+) -> Assessment:
+    """Evaluates all records as seen by a controller in `zone`. `with_own_evidence`: processes that have just replied to
+    this controller, which outranks all opinions received. Observers in the own zone count; if an invoker has none
+    there, those of other zones do. Goes through all records: the slow reference of `IncrementalAssessment`."""
+    excluded: dict[Process, str] = {}
+    zone_sizes: dict[str, int] = {}
+    zone_by_process: dict[Process, str] = {}
     for record in records:
         if record.course() is Course.GONE:
             continue
-        where[record.process] = its_zone = _zone_of(record)
-        size[its_zone] = size.get(its_zone, 0) + 1
-        if record.process not in own and (why := _why(now, record, zone, limits, believed)):
-            out[record.process] = why
-    return _settled(out, where, size, limits.most_out)
+        zone_by_process[record.process] = its_zone = _zone_of(record)
+        zone_sizes[its_zone] = zone_sizes.get(its_zone, 0) + 1
+        if record.process not in with_own_evidence and (
+            reason := _exclusion_reason(now, record, zone, limits, believed)
+        ):
+            excluded[record.process] = reason
+    return _limited(excluded, zone_by_process, zone_sizes, limits.max_excluded_share)
 
 
 def _zone_of(record: Record) -> str:
@@ -78,44 +95,45 @@
 
 
 @dataclass(slots=True, eq=False)
-class Weighing:
-    """The same, kept up to date: looks only at processes of which something changed, and at those that own answers
-    speak for, as these grow old. At 300 controllers a quarter of all work was to look at all of them anew."""
+class IncrementalAssessment:
+    """The same result as `assess`, kept up to date: checks only processes that changed, and those overridden by own
+    evidence, because that evidence ages. At 300 controllers, checking all of them each time took a quarter of all
+    processor time."""
 
     limits: OpinionLimits
-    out: dict[Process, str] = field(default_factory=dict)
-    # Others would have them out, own answers speak for them.
-    held: set[Process] = field(default_factory=set)
+    excluded: dict[Process, str] = field(default_factory=dict)
+    # Processes that opinions would exclude but own evidence keeps.
+    overridden: set[Process] = field(default_factory=set)
 
-    def look(
+    def update(
         self,
         now: float,
         view: View,
         zone: str,
-        own: Callable[[Process], bool],
+        has_own_evidence: Callable[[Process], bool],
         changed: Iterable[Process] | None,
         believed: Callable[[Witness], bool] = lambda witness: True,
-    ) -> Judged:
-        """`changed`: processes whose opinions or course changed, or that own answers came from; None: all may have."""
+    ) -> Assessment:
+        """`changed`: processes with a new opinion, course or reply to this controller; None: any may have changed."""
         if changed is None:
-            self.out.clear()
-            self.held.clear()
-            looked_at = set(view.disputed)
+            self.excluded.clear()
+            self.overridden.clear()
+            to_check = set(view.with_opinions)
         else:
-            looked_at = {*changed, *self.held}
-        # In an order that hangs on no hash: what follows is told in it.
-        for process in sorted(looked_at):
+            to_check = {*changed, *self.overridden}
+        # Sorted, because the order of the results must not depend on hashes.
+        for process in sorted(to_check):
             record = view.records.get(process)
-            self.out.pop(process, None)
-            self.held.discard(process)
+            self.excluded.pop(process, None)
+            self.overridden.discard(process)
             if record is None or not record.opinions or record.course() is Course.GONE:
                 continue
-            if why := _why(now, record, zone, self.limits, believed):
-                if own(process):
-                    self.held.add(process)
+            if reason := _exclusion_reason(now, record, zone, self.limits, believed):
+                if has_own_evidence(process):
+                    self.overridden.add(process)
                 else:
-                    self.out[process] = why
-        for process in [one for one in self.out if one not in view.records]:
-            del self.out[process]
-        where = {process: _zone_of(view.records[process]) for process in self.out}
-        return _settled(self.out, where, view.zones, self.limits.most_out)
+                    self.excluded[process] = reason
+        for process in [one for one in self.excluded if one not in view.records]:
+            del self.excluded[process]
+        zone_by_process = {process: _zone_of(view.records[process]) for process in self.excluded}
+        return _limited(self.excluded, zone_by_process, view.zones, self.limits.max_excluded_share)
--- a/sprucespool/lab/hunting.py
+++ b/sprucespool/lab/hunting.py
@@ -1,4 +1,4 @@
-"""Fault search over many seeds in parallel: what breaks is shrunk and written down as a course that replays."""
+"""Fault search over many seeds in parallel; a failing course is shrunk and written to a file that can be replayed."""
 
 from __future__ import annotations
 
@@ -10,15 +10,16 @@
 from pathlib import Path
 
 from sprucespool.emulator.hunt import Course, CourseResult, guided_course, play, random_course, shrink
-from sprucespool.lab.coursedays import MOST_CONTROLLERS, as_day
-from sprucespool.lab.coursedays import played as played_as_day
+from sprucespool.lab.coursedays import MAX_CONTROLLERS, as_day
+from sprucespool.lab.coursedays import run_course as run_course_as_day
 from sprucespool.lab.defects import BUILDS
 from sprucespool.settings import read, write
 
 
 @dataclass(slots=True)
-class Hunted:
-    """`tried`: courses until the first that broke something (all, if none did); `seconds` of wall time."""
+class HuntResult:
+    """`tried` is the number of courses up to the first that broke something, or of all if none did; `seconds` is wall
+    time."""
 
     build: str
     tried: int
@@ -28,30 +29,30 @@
     path: Path | None = None
 
 
-def played(course: Course, module: bool = False) -> CourseResult:
-    """Of a build by its name: so that a course alone says all. `module`: as a day, on the module that decides."""
+def run_course(course: Course, module: bool = False) -> CourseResult:
+    """Runs a course on the build that it names. With `module`, runs it as a day on the decision module."""
     if module:
-        return played_as_day(course)
+        return run_course_as_day(course)
     if course.build not in BUILDS:
         raise ValueError(f"build: expected one of {', '.join(BUILDS)}, got {course.build!r}")
     return play(course, BUILDS[course.build])
 
 
-def _drawn(job: tuple[int, str, int, bool]) -> CourseResult:
-    """`most` 0: a guided course."""
+def _run_seed(job: tuple[int, str, int, bool]) -> CourseResult:
+    """Draws and runs the course of a seed: a guided one if `most` is 0."""
     seed, build, most, module = job
-    return played(random_course(seed, most, build) if most else guided_course(seed, build), module)
+    return run_course(random_course(seed, most, build) if most else guided_course(seed, build), module)
 
 
-def found_in(build: str, seeds: range, most: int, workers: int, module: bool = False) -> Iterator[CourseResult]:
-    """In order of seeds, whichever process ends first; `most` 0: guided courses instead of blind ones."""
+def search(build: str, seeds: range, most: int, workers: int, module: bool = False) -> Iterator[CourseResult]:
+    """Yields results in the order of the seeds. With `most` 0, runs guided courses instead of random ones."""
     jobs = [(seed, build, most, module) for seed in seeds]
     if workers <= 1:
-        yield from map(_drawn, jobs)
+        yield from map(_run_seed, jobs)
         return
     with ProcessPoolExecutor(workers) as pool:
         try:
-            yield from pool.map(_drawn, jobs)
+            yield from pool.map(_run_seed, jobs)
         finally:
             pool.shutdown(wait=False, cancel_futures=True)
 
@@ -64,39 +65,41 @@
     folder: Path | None = None,
     progress: Callable[[str], None] = lambda line: None,
     module: bool = False,
-) -> Hunted:
-    """Until the first course that breaks something. Raises OSError where it can't be written down."""
-    begun, tried = time.monotonic(), 0
-    for found in found_in(build, seeds, most, workers, module):
+) -> HuntResult:
+    """Runs courses until one breaks something. Raises OSError if that one cannot be written to `folder`."""
+    started_at, tried = time.monotonic(), 0
+    for found in search(build, seeds, most, workers, module):
         tried += 1
         if not found.broken:
             if tried % 10 == 0:
                 progress(f"{build}: {tried} of {len(seeds)} courses, nothing broken")
             continue
-        hunted = Hunted(build, tried, time.monotonic() - begun, found, shrink(found, partial(played, module=module)))
-        if folder is not None and hunted.small is not None:
+        result = HuntResult(
+            build, tried, time.monotonic() - started_at, found, shrink(found, partial(run_course, module=module))
+        )
+        if folder is not None and result.small is not None:
             folder.mkdir(parents=True, exist_ok=True)
-            hunted.path = folder / f"{build}-{found.course.seed}.kdl"
-            hunted.path.write_text(written(hunted.small))
-            if hunted.small.course.controllers <= MOST_CONTROLLERS:
-                hunted.path.with_suffix(".day.kdl").write_text(as_a_day(hunted.small))
-        return hunted
-    return Hunted(build, tried, time.monotonic() - begun)
+            result.path = folder / f"{build}-{found.course.seed}.kdl"
+            result.path.write_text(course_text(result.small))
+            if result.small.course.controllers <= MAX_CONTROLLERS:
+                result.path.with_suffix(".day.kdl").write_text(day_text(result.small))
+        return result
+    return HuntResult(build, tried, time.monotonic() - started_at)
 
 
-def written(found: CourseResult) -> str:
-    """A course as a file, with what it breaks."""
-    told = "".join(f"// ({one.which}) {one.what}\n" for one in found.broken[:5])
-    return told + write(found.course)
+def course_text(found: CourseResult) -> str:
+    """The text of a course file, with the broken invariants as comments."""
+    comments = "".join(f"// ({broken.which}) {broken.what}\n" for broken in found.broken[:5])
+    return comments + write(found.course)
 
 
-def as_a_day(found: CourseResult) -> str:
-    """The same as a day's script, with what the course breaks."""
-    told = "".join(f"// ({one.which}) {one.what}\n" for one in found.broken[:5])
+def day_text(found: CourseResult) -> str:
+    """The course as a day's script, with the broken invariants as comments."""
+    comments = "".join(f"// ({broken.which}) {broken.what}\n" for broken in found.broken[:5])
     build = f"// Over sockets: sprucespool day --decider {found.course.build}\n" * (found.course.build != "sound")
-    return told + build + write(as_day(found.course))
+    return comments + build + write(as_day(found.course))
 
 
-def opened(path: Path) -> Course:
-    """Raises OSError, SettingsError with line and expectation."""
+def load_course(path: Path) -> Course:
+    """Reads a course file. Raises OSError, and SettingsError with the line and what was expected."""
     return read(Course, path.read_text(encoding="utf-8"), str(path))
