--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -28,7 +28,7 @@
 def _case(job: tuple[str, int, int, int, bool]) -> dict:
     case, size, boxes, seed, share = job
     started_at = time.process_time()
-    result = play(case, size, boxes, seed, share, rate=1.0, look=2_000.0).as_dict()
+    result = play(case, size, boxes, seed, share, rate=1.0, observe_interval=2_000.0).as_dict()
     return {**result, "cpu": round(time.process_time() - started_at, 1)}
 
 
--- a/sprucespool/lab/coursedays.py
+++ b/sprucespool/lab/coursedays.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from sprucespool.emulator.hunt import VOTERS, Course, Fault, Found
-from sprucespool.emulator.plans import Habits
+from sprucespool.emulator.hunt import VOTERS, Course, CourseResult, Fault
+from sprucespool.emulator.plans import WorldParameters
 from sprucespool.gateway import Gateway
 from sprucespool.judge.group import BrokenInvariant
 from sprucespool.lab.days import play
@@ -30,7 +30,7 @@
     """Raises ValueError for a course that has too many controllers for a day."""
     if course.controllers > MAX_CONTROLLERS:
         raise ValueError(f"controllers: expected at most {MAX_CONTROLLERS} in a day, got {course.controllers}")
-    habits, zones = Habits(), [f"z{n}" for n in range(course.zones)]
+    habits, zones = WorldParameters(), [f"z{n}" for n in range(course.zones)]
     run = sum(habits.run) / 2
     rate = habits.load * course.invokers * habits.cores / (run / 1000.0)
     last_end = max((fault.at + fault.lasts for fault in course.faults), default=0.0)
@@ -77,14 +77,14 @@
     )
 
 
-def run_course(course: Course) -> Found:
+def run_course(course: Course) -> CourseResult:
     """Runs a course on the module and also checks the five rules. Raises ValueError for an unknown build."""
     if course.build not in MODULE_BUILDS:
         raise ValueError(f"build: expected one of {', '.join(MODULE_BUILDS)}, got {course.build!r}")
     decider = DECIDERS[course.build if course.build in DECIDERS else "hiku"]
     result = play(as_day(course), decider, None, GATEWAYS.get(course.build, Gateway))
     rules = [BrokenInvariant(f"rule {broken.rule}", broken.at, broken.what) for broken in result.broken]
-    return Found(course, rules + result.invariants, result.events)
+    return CourseResult(course, rules + result.invariants, result.events)
 
 
 def _other_controllers(course: Course, fault: Fault) -> str:
--- a/sprucespool/lab/days.py
+++ b/sprucespool/lab/days.py
@@ -89,13 +89,13 @@
     """Creates the world of a day at time 0. Raises ValueError for a day that cannot run in virtual time."""
     world = DayWorld(day, decider, controllers, gateway, **kinds)
     if day.group is not None:
-        world.looking(CHECK_INTERVAL_MS)
+        world.observe_every(CHECK_INTERVAL_MS)
     world.schedule_day()
     return world
 
 
 def finish_day(world: DayWorld) -> DayResult:
-    """Runs the world from its current time to the end of the day and judges it. Raises StandsStill."""
+    """Runs the world from its current time to the end of the day and judges it. Raises TimeStalled."""
     world.run(world.day.lasts + SETTLE_MS - world.now)
     world.notes += world.bad_links.all_over(world.now)
     return _judge_day(world)
--- a/sprucespool/lab/hunting.py
+++ b/sprucespool/lab/hunting.py
@@ -9,7 +9,7 @@
 from functools import partial
 from pathlib import Path
 
-from sprucespool.emulator.hunt import Course, Found, drawn, guided, play, shrunk
+from sprucespool.emulator.hunt import Course, CourseResult, guided_course, play, random_course, shrink
 from sprucespool.lab.coursedays import MAX_CONTROLLERS, as_day
 from sprucespool.lab.coursedays import run_course as run_course_as_day
 from sprucespool.lab.defects import BUILDS
@@ -24,12 +24,12 @@
     build: str
     tried: int
     seconds: float
-    first: Found | None = None
-    small: Found | None = None
+    first: CourseResult | None = None
+    small: CourseResult | None = None
     path: Path | None = None
 
 
-def run_course(course: Course, module: bool = False) -> Found:
+def run_course(course: Course, module: bool = False) -> CourseResult:
     """Runs a course on the build that it names. With `module`, runs it as a day on the decision module."""
     if module:
         return run_course_as_day(course)
@@ -38,13 +38,13 @@
     return play(course, BUILDS[course.build])
 
 
-def _run_seed(job: tuple[int, str, int, bool]) -> Found:
+def _run_seed(job: tuple[int, str, int, bool]) -> CourseResult:
     """Draws and runs the course of a seed: a guided one if `most` is 0."""
     seed, build, most, module = job
-    return run_course(drawn(seed, most, build) if most else guided(seed, build), module)
+    return run_course(random_course(seed, most, build) if most else guided_course(seed, build), module)
 
 
-def search(build: str, seeds: range, most: int, workers: int, module: bool = False) -> Iterator[Found]:
+def search(build: str, seeds: range, most: int, workers: int, module: bool = False) -> Iterator[CourseResult]:
     """Yields results in the order of the seeds. With `most` 0, runs guided courses instead of random ones."""
     jobs = [(seed, build, most, module) for seed in seeds]
     if workers <= 1:
@@ -75,7 +75,7 @@
                 progress(f"{build}: {tried} of {len(seeds)} courses, nothing broken")
             continue
         result = HuntResult(
-            build, tried, time.monotonic() - started_at, found, shrunk(found, partial(run_course, module=module))
+            build, tried, time.monotonic() - started_at, found, shrink(found, partial(run_course, module=module))
         )
         if folder is not None and result.small is not None:
             folder.mkdir(parents=True, exist_ok=True)
@@ -87,13 +87,13 @@
     return HuntResult(build, tried, time.monotonic() - started_at)
 
 
-def course_text(found: Found) -> str:
+def course_text(found: CourseResult) -> str:
     """The text of a course file, with the broken invariants as comments."""
     comments = "".join(f"// ({broken.which}) {broken.what}\n" for broken in found.broken[:5])
     return comments + write(found.course)
 
 
-def day_text(found: Found) -> str:
+def day_text(found: CourseResult) -> str:
     """The course as a day's script, with the broken invariants as comments."""
     comments = "".join(f"// ({broken.which}) {broken.what}\n" for broken in found.broken[:5])
     build = f"// Over sockets: sprucespool day --decider {found.course.build}\n" * (found.course.build != "sound")
--- a/sprucespool/lab/sweep.py
+++ b/sprucespool/lab/sweep.py
@@ -18,7 +18,7 @@
 
 from sprucespool.emulator import cases as fleet_cases
 from sprucespool.emulator import plans as failover_cases
-from sprucespool.emulator.group import Virtual
+from sprucespool.emulator.group import VirtualGroup
 from sprucespool.lab.days import play as play_day
 from sprucespool.lab.days import scaled
 from sprucespool.settings import read, write
@@ -152,7 +152,7 @@
 
 def _run_fleet(job: Job) -> tuple[dict[str, float | None], list[str]]:
     result = fleet_cases.play(
-        job.case, job.controllers, job.invokers, job.seed, job.decider == "common", 1.0, look=2_000.0
+        job.case, job.controllers, job.invokers, job.seed, job.decider == "common", 1.0, observe_interval=2_000.0
     )
     figures = result.figures
     return {
@@ -166,7 +166,7 @@
 
 
 def _run_group(job: Job) -> tuple[dict[str, float | None], list[str]]:
-    world = Virtual(job.controllers, job.seed, loss=job.loss, settled=True)
+    world = VirtualGroup(job.controllers, job.seed, loss=job.loss, settled=True)
     world.run(5_000.0)
     sent_before, started_at = world.said, time.process_time()
     broken: list[str] = []
--- a/sprucespool/lab/world.py
+++ b/sprucespool/lab/world.py
@@ -18,9 +18,9 @@
 
 from sprucespool import interface as it
 from sprucespool.emulator import worker as wk
-from sprucespool.emulator.fleet import Box, status_of
+from sprucespool.emulator.fleet import VirtualInvoker, status_of
 from sprucespool.emulator.library import Fetch, Library, LibraryFacts
-from sprucespool.emulator.plans import Habits, PlanWorld
+from sprucespool.emulator.plans import PlanWorld, WorldParameters
 from sprucespool.faults import LinkState
 from sprucespool.fleet import InvokerState, RosterRow, Suspicion
 from sprucespool.fleet.gateway_inputs import gateway_inputs
@@ -54,7 +54,7 @@
     """An invoker's process. A later process may have the same address."""
 
     slot: Slot
-    box: Box
+    box: VirtualInvoker
     boot: str
     worker: wk.Worker
     arrival_count: int = 0
@@ -179,7 +179,7 @@
             "common" if failover is not None else "today",
             len(day.zones),
             1,
-            Habits(1, cold_share=fleet.cold_share, warm_after=fleet.warm_after),
+            WorldParameters(1, cold_share=fleet.cold_share, warm_after=fleet.warm_after),
             voters=tuple(failover.voters.split(",")) if failover is not None else (),
             replace_after=failover.replace_after if failover is not None else 30_000.0,
             lag=day.roster.lag,
@@ -200,7 +200,7 @@
                 LinkState(distance.latency, distance.jitter),
             )
         for slot in self.plan.slots:
-            box = self.boxes[f"w{slot.number}"]
+            box = self.invokers[f"w{slot.number}"]
             box.born = -3.6e6
             self._start_process(slot, box, False)
             self.rows[box.address] = self._row(box)
@@ -265,8 +265,8 @@
             super()._tick(member)
             self._update_sharing(member)
 
-    def _heard(self, to: str, message: Any):
-        super()._heard(to, message)
+    def _receive(self, to: str, message: Any):
+        super()._receive(to, message)
         member = self.by_address.get(to)
         if member is not None:
             self._update_sharing(member)
@@ -296,13 +296,13 @@
     def _deliver_inputs(self, member: Group, frontend: _Frontend):
         if self.frontends.get(member) is not frontend:
             return
-        if member.name in self.still:
+        if member.name in self.paused:
             return self._later(10.0, partial(self._deliver_inputs, member, frontend))
         frontend.delivery_scheduled = False
         inputs, frontend.inputs = frontend.inputs, []
         frontend.gateway.take(self._time(member), inputs)
 
-    def _learned(self, member: Group, places: list[InvokerState], doubts: list[Suspicion]):
+    def _view_changed(self, member: Group, places: list[InvokerState], doubts: list[Suspicion]):
         if not self.views_kept:
             return
         for gateway_input in gateway_inputs(places, doubts, self.fleets[member].version, self._time(member)):
@@ -310,30 +310,30 @@
 
     # The roster
 
-    def _row(self, box: Box, gone: bool = False) -> RosterRow:
+    def _row(self, box: VirtualInvoker, gone: bool = False) -> RosterRow:
         row = super()._row(box, gone)
         slot = self.plan.slots[int(box.name[1:])]
         return RosterRow(
             row.process, row.listed, gone, box.zone, slot.machines.kind, slot.cell, float(slot.machines.cores), row.age
         )
 
-    def publish(self, box: Box, gone: bool = False) -> None:
+    def publish(self, box: VirtualInvoker, gone: bool = False) -> None:
         row = self._row(box, gone)
         due = self.now + self.lag * self.chance.uniform(0.7, 1.3) + self.extra
         # Changes are published in order, so that an update still on its way does not list a removed process again.
         self.last_publish_at = due = max(due, self.last_publish_at + 0.01)
         self._later(due - self.now, lambda: self._published(box, row))
 
-    def _published(self, box: Box, row: RosterRow):
+    def _published(self, box: VirtualInvoker, row: RosterRow):
         super()._published(box, row)
         self.roster_history.append((self.now, self.version, dict(self.rows)))
 
-    def _tell(self, member: Group, whole: bool, version: int, rows: list[RosterRow], source: str = "roster"):
+    def _report_roster(self, member: Group, whole: bool, version: int, rows: list[RosterRow], source: str = "roster"):
         frontend = self.frontends.get(member)
         if frontend is None or not self._reaches(member):
             return
-        if member.name in self.still:
-            return self._later(50.0, lambda: self._tell(member, whole, version, rows, source))
+        if member.name in self.paused:
+            return self._later(50.0, lambda: self._report_roster(member, whole, version, rows, source))
         number = member.about.number
         for row in rows:
             self.note(seen.Told(self.now, number, *row.process, status_of(row)))
@@ -342,17 +342,17 @@
                 self.note(seen.Told(self.now, number, address, "", "gone"))
         frontend.ever_listed |= {row.process[0] for row in rows}
         if self.views_kept:
-            return super()._tell(member, whole, version, rows, source)
+            return super()._report_roster(member, whole, version, rows, source)
         roster_rows = [
             ms.Row(row.process[0], row.zone, row.kind, row.cell, status_of(row), row.size, row.process[1], row.age)
             for row in rows
         ]
         self._queue_input(member, ms.Roster((it.News.REPLACE if whole else it.News.UPDATE).value, version, roster_rows))
 
-    def _break(self, member: Group):
-        was_connected = member in self.minds and self.minds[member].connected
-        super()._break(member)
-        if was_connected and not self.minds[member].connected and not self.views_kept:
+    def _check_roster_link(self, member: Group):
+        was_connected = member in self.routings and self.routings[member].connected
+        super()._check_roster_link(member)
+        if was_connected and not self.routings[member].connected and not self.views_kept:
             self._queue_input(member, ms.Roster(it.News.UNAVAILABLE.value))
 
     # Clients
@@ -390,7 +390,7 @@
             return self._unreached(request, False)
         frontend, plan = self.frontends[member], request.plan
         frontend.requests[request.id] = request
-        if member.name in self.still:
+        if member.name in self.paused:
             # The request waits in the socket of a stalled controller.
             return self._later(10.0, partial(self._request_arrives, request, sent, until))
         call = ms.Call(
@@ -407,7 +407,7 @@
             waited=max(0.0, self.now - sent - LOCAL_LINK.delay),
         )
         if self.day.failover is not None:
-            parts, group = self.parts[member], self.model_groups[plan.group]
+            parts, group = self.failover_states[member], self.model_groups[plan.group]
             now, bound = self._time(member), bool(group.stay) or plan.tenant in self.bound_tenants
             if not call.repeat:
                 parts.meter.arrived(now, call.group, bound, call.work or group.slo_time / 4)
@@ -541,7 +541,7 @@
             )
         )
         if self._active_fault(process, "refuse"):
-            process.worker._weigh(self.now, job.work)
+            process.worker._record_sent_work(self.now, job.work)
             self._end_at_invoker(process, job, "refused", "full")
         else:
             process.worker.arrive(self.now, job)
@@ -561,7 +561,7 @@
         pending = frontend.pending_forwards.get(number) if frontend is not None else None
         if frontend is None or pending is None:
             return
-        if member.name in self.still:
+        if member.name in self.paused:
             return self._later(10.0, lambda: self._forward_ends(member, number, outcome, process, job, **report))
         found = job.found.replace("-", " ") if job is not None and outcome in ("returned", "full") else "untold"
         reports = process is not None and job is not None and self.day.invokers.tells
@@ -590,9 +590,9 @@
         now = self._time(member)
         if self.views_kept:
             self.fleets[member].ended(now, number, outcome, boot, draining, age)
-            self._fleet_do(member, [])
+            self._carry_out(member, [])
         if self.day.failover is not None and pending.zone and outcome not in ("called off", "not sent"):
-            parts = self.parts[member]
+            parts = self.failover_states[member]
             parts.steer.ended(now, pending.zone, outcome in ("returned", "full", "miss", "error"))
             parts.meter.ended(
                 now,
@@ -668,7 +668,7 @@
             )
             if self._active_fault(process, "hang") is None:
                 process.worker.order(
-                    self.now, wk.Ask(_Order(member, effect.order), effect.model, min(16, effect.copies))
+                    self.now, wk.LoadOrder(_Order(member, effect.order), effect.model, min(16, effect.copies))
                 )
                 self._apply_acts(process)
 
@@ -692,7 +692,7 @@
 
     # Invokers
 
-    def _start_process(self, slot: Slot, box: Box, cold: bool) -> _Process:
+    def _start_process(self, slot: Slot, box: VirtualInvoker, cold: bool) -> _Process:
         machines = slot.machines
         worker = wk.Worker(worker_facts(self.day, machines), self.catalog, self.now, cold=cold)
         process = _Process(slot, box, box.boot, worker)
@@ -707,11 +707,11 @@
                 self._later(0.0, partial(self._apply_fault, slot.number, fault))
         return process
 
-    def start(self, box: Box) -> None:
+    def start(self, box: VirtualInvoker) -> None:
         super().start(box)
         self._start_process(self.plan.slots[int(box.name[1:])], box, True)
 
-    def down(self, box: Box) -> None:
+    def down(self, box: VirtualInvoker) -> None:
         box.up = False
         process = self.processes[box.address]
         if not process.up:
@@ -723,7 +723,7 @@
                 box.name, arrived.member.name, partial(self._forward_ends, arrived.member, arrived.forward, "reset")
             )
         process.forwards.clear()
-        for ask in process.worker.asks:
+        for ask in process.worker.orders:
             order = ask.tag
             assert isinstance(order, _Order)
             self._queue_input(order.member, ms.OrderEnded(order.number, "reset"))
@@ -744,10 +744,10 @@
         if self.now >= ends and fault.kind != "flush" or not process.up:
             return
         if fault.kind == "crawl":
-            worker.crawl = fault.factor
-            self._later(ends - self.now, lambda: setattr(worker, "crawl", 1.0))
+            worker.slowdown = fault.factor
+            self._later(ends - self.now, lambda: setattr(worker, "slowdown", 1.0))
         elif fault.kind == "pauses":
-            worker.stand_still(self.now, fault.span)
+            worker.pause(self.now, fault.span)
             self._later(fault.every, partial(self._apply_fault, number, fault))
         elif fault.kind == "flush":
             hash_limit = fault.share * 2**32
@@ -764,12 +764,12 @@
     def _apply_acts(self, process: _Process):
         """Carries out the actions of the worker's last step and schedules its next check."""
         worker = process.worker
-        while worker.acts and process.up:
-            acts, worker.acts = worker.acts, []
+        while worker.actions and process.up:
+            acts, worker.actions = worker.actions, []
             for act in acts:
                 ACTS[type(act)](self, process, act)
         due = worker.next_due()
-        if due < process.next_check_at and process.up and not worker.fallen:
+        if due < process.next_check_at and process.up and not worker.overloaded:
             process.next_check_at = due
             self._later(max(0.0, due - self.now), partial(self._check_worker, process, due))
         if worker.draining and worker.idle and not process.forwards and process.up:
@@ -779,7 +779,7 @@
         # Otherwise an earlier check has run since and scheduled another one.
         if process.up and process.next_check_at == due:
             process.next_check_at = math.inf
-            process.worker.look(self.now)
+            process.worker.advance(self.now)
             self._apply_acts(process)
 
     def _end_at_invoker(self, process: _Process, job: wk.Job, how: str, outcome: str, **report: Any) -> None:
@@ -829,14 +829,14 @@
         )
 
     def _order_settled(self, process: _Process, act: wk.Settled):
-        order = act.ask.tag
+        order = act.order.tag
         assert isinstance(order, _Order)
         order_ended = ms.OrderEnded(
-            order.number, "returned" if act.stands else "full", act.standing if self.day.invokers.tells else 0
+            order.number, "returned" if act.fulfilled else "full", act.loaded_copies if self.day.invokers.tells else 0
         )
         self._transmit(process.box.name, order.member.name, lambda: self._queue_input(order.member, order_ended))
 
-    def _fall_over(self, process: _Process, act: wk.Fell):
+    def _fall_over(self, process: _Process, act: wk.Overloaded):
         self.note(seen.PushedOver(self.now, process.box.address, process.boot, act.sent, act.allowed))
         self.down(process.box)
 
@@ -912,9 +912,9 @@
     def _start_new(self, step: Step):
         """Starts a cold process at an address of its own."""
         slot = self.plan.slots[step.target]
-        count = sum(box.name == f"i{slot.number}" for box in self.boxes.values())
-        box = Box(f"i{slot.number}", f"w{slot.number}+{count}", slot.zone, "", self.now, up=False)
-        self.boxes[box.address] = box
+        count = sum(box.name == f"i{slot.number}" for box in self.invokers.values())
+        box = VirtualInvoker(f"i{slot.number}", f"w{slot.number}+{count}", slot.zone, "", self.now, up=False)
+        self.invokers[box.address] = box
         self.start(box)
 
     def _kill_step(self, step: Step):
@@ -927,12 +927,12 @@
         name = f"c{step.target}"
         if name not in self.members:
             return
-        self.hold({name}, True)
+        self.pause_controllers({name}, True)
         self.changed()
         began = self.now
 
         def resume():
-            self.hold({name}, False)
+            self.pause_controllers({name}, False)
             self.note(seen.Stalled(began, step.target, self.now))
             self.changed()
 
@@ -963,7 +963,7 @@
         until = self.now + 15_000.0
 
         def ask():
-            for member, parts in self.parts.items():
+            for member, parts in self.failover_states.items():
                 if parts.failover.council.leads(self._time(member)):
                     if not parts.failover.drain(step.name, step.what == "drain-zone", False):
                         return
@@ -985,7 +985,7 @@
     def changed(self) -> None:
         """Records a change of links or stalled controllers for the judge, and breaks the connections concerned."""
         sides, uneven = parted(self.links, (f"c{n}" for n in range(self.controllers)))
-        self.noted.append(Faulted(self.now, sides, sorted(self.still), uneven))
+        self.noted.append(Faulted(self.now, sides, sorted(self.paused), uneven))
         self.notes += self.bad_links.look(self.now, self.links, range(self.controllers), self.places)
         self.links_changed()
 
@@ -993,8 +993,8 @@
     def places(self) -> list[str]:
         return [f"i{slot.number}" for slot in self.plan.slots]
 
-    def look(self) -> None:
-        super().look()
+    def observe(self) -> None:
+        super().observe()
         self.note_members()
         if self.views_kept:
             self.note_views()
@@ -1019,7 +1019,7 @@
     wk.Refused: DayWorld._refuse,
     wk.Missed: DayWorld._miss,
     wk.Settled: DayWorld._order_settled,
-    wk.Fell: DayWorld._fall_over,
+    wk.Overloaded: DayWorld._fall_over,
     wk.FetchWanted: DayWorld._start_fetch,
 }
 
@@ -1045,7 +1045,7 @@
     "roster-lag": lambda world, step: setattr(world, "extra", step.figure),
     "roster-down": lambda world, step: world.roster_down(),
     "roster-up": lambda world, step: world.roster_down(False),
-    "library-slow": _set_library(slow=None),
+    "library-slow": _set_library(slowdown=None),
     "library-down": _set_library(down=True),
     "library-up": _set_library(down=False),
     "stall": DayWorld._stall,
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -8,7 +8,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sprucespool.emulator.hunt import KINDS, KINDS_GUIDED, Course, Fault, Found, drawn, guided, play, shrunk
+from sprucespool.emulator.hunt import (
+    KINDS,
+    KINDS_GUIDED,
+    Course,
+    CourseResult,
+    Fault,
+    guided_course,
+    play,
+    random_course,
+    shrink,
+)
 from sprucespool.judge.group import BrokenInvariant
 from sprucespool.lab.coursedays import as_day
 from sprucespool.lab.hunting import hunt, load_course, run_course
@@ -27,13 +37,13 @@
 
 
 def test_a_course_is_deterministic_and_the_sound_build_breaks_no_invariant():
-    first, again, other = (play(drawn(seed), after=46_000.0) for seed in (8, 8, 3))
+    first, again, other = (play(random_course(seed), after=46_000.0) for seed in (8, 8, 3))
     assert first == again and first.events > 10_000 and other.events != first.events
     assert first.broken == [] and other.broken == []
 
 
 def test_random_courses_end_in_time_and_contain_every_kind_of_fault():
-    courses = [drawn(seed) for seed in range(200)]
+    courses = [random_course(seed) for seed in range(200)]
     assert {fault.kind for course in courses for fault in course.faults} == set(KINDS)
     assert all(fault.at + fault.lasts <= 26_000.0 for course in courses for fault in course.faults)
     assert len({str(course.faults) for course in courses}) == 200
@@ -52,11 +62,11 @@
 
 def test_guided_courses_find_defects_and_the_sound_build_passes_them():
     """Cases: ends that few controllers learn of, a leader with only its own vote, a plan that nobody renews."""
-    assert "fleet c" in run_course(guided(1, "fleet-b")).which
-    assert "failover a" in run_course(guided(2, "council-minority")).which
-    assert "failover g" in run_course(guided(4, "council-endless")).which
-    assert all(run_course(guided(seed)).broken == [] for seed in (1, 2, 4))
-    assert all(fault.at + fault.lasts <= 26_000.0 for seed in range(100) for fault in guided(seed).faults)
+    assert "fleet c" in run_course(guided_course(1, "fleet-b")).which
+    assert "failover a" in run_course(guided_course(2, "council-minority")).which
+    assert "failover g" in run_course(guided_course(4, "council-endless")).which
+    assert all(run_course(guided_course(seed)).broken == [] for seed in (1, 2, 4))
+    assert all(fault.at + fault.lasts <= 26_000.0 for seed in range(100) for fault in guided_course(seed).faults)
 
 
 @settings(max_examples=100, deadline=None, derandomize=True, database=None)
@@ -69,9 +79,9 @@
 
     def replay(course):
         present = {fault.at for fault in course.faults if fault.lasts >= min_lasts}
-        return Found(course, [BrokenInvariant("x", 0.0, "")] if wanted <= present else [])
+        return CourseResult(course, [BrokenInvariant("x", 0.0, "")] if wanted <= present else [])
 
-    small = shrunk(replay(Course(faults=faults)), replay)
+    small = shrink(replay(Course(faults=faults)), replay)
     assert {fault.at for fault in small.course.faults} == wanted and small.broken
     assert all(fault.lasts < 2 * max(min_lasts, 1_000.0) + 200.0 for fault in small.course.faults)
 
@@ -105,14 +115,14 @@
     span = lab_command("hunt", "--seeds", "5-1")
     assert span.returncode == 2 and "expected FIRST-LAST" in span.stderr
     with pytest.raises(ValueError, match="build: expected one of sound"):
-        run_course(msgspec.structs.replace(drawn(1), build="oracle"))
+        run_course(msgspec.structs.replace(random_course(1), build="oracle"))
     (tmp_path / "file").write_text("")
     with pytest.raises(OSError):
         hunt("failover-e", range(1, 3), workers=1, folder=tmp_path / "file")
 
 
 def test_a_course_converted_to_a_day_runs_on_the_module_and_can_be_read_back(tmp_path):
-    course = drawn(5)
+    course = random_course(5)
     day = as_day(course)
     assert read(Day, write(day), "day") == day and {one.kind for one in day.troubles} == {"hang", "controller-restart"}
     assert [one.what for one in day.troubles if one.at == day.troubles[-1].at] and day.lasts > 50_000.0
--- a/tests/test_lab_days.py
+++ b/tests/test_lab_days.py
@@ -15,7 +15,7 @@
 from test_days import DAYS, HEAD, SOUND, USERS
 from world import deployment, group
 
-from sprucespool.emulator.group import StandsStill
+from sprucespool.emulator.group import TimeStalled
 from sprucespool.gateway import Gateway
 from sprucespool.gateway import messages as ms
 from sprucespool.gateway.record import Recorder
@@ -76,13 +76,13 @@
 
 def test_a_world_whose_time_does_not_advance_raises_stands_still(monkeypatch):
     world = start_day(script(SOUND))
-    monkeypatch.setattr("sprucespool.emulator.group.MOST_AT_ONCE", 5_000)
+    monkeypatch.setattr("sprucespool.emulator.group.MAX_EVENTS_AT_ONE_INSTANT", 5_000)
 
     def again_and_again():
         world._later(0.0, again_and_again)
 
     world._later(1_000.0, again_and_again)
-    with pytest.raises(StandsStill, match="at 1000.000 ms: .*again_and_again"):
+    with pytest.raises(TimeStalled, match="at 1000.000 ms: .*again_and_again"):
         world.run(7_000.0)
 
 
@@ -378,7 +378,7 @@
         )
     )
     world.run(6_000.0)
-    trusts = [world.parts[world.members[name]].gauge.trust for name in ("c0", "c1", "c2")]
+    trusts = [world.failover_states[world.members[name]].gauge.trust for name in ("c0", "c1", "c2")]
     misses = sum(isinstance(one, seen.Went) and one.how == "missed" for one in world.notes)
     assert misses > 500 and all(trust >= 0.9 for zone_trust in trusts for trust in zone_trust.values())
 
