--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -174,7 +174,7 @@
             names = await rig.start_all(count, regions=1, zones=3)
             found = await rig.until(rig.alike)
             sides = [names[n::3] for n in range(3)]
-            rig.part(sides)
+            rig.partition(sides)
             apart = await rig.until(lambda: all(rig.alike(side) for side in sides), 120)
             rig.heal()
             await asyncio.sleep(12)
--- a/sprucespool/cli/main.py
+++ b/sprucespool/cli/main.py
@@ -519,11 +519,11 @@
 ) -> None:
     """Extract the inferences from controllers' recorded inputs, to be sent again in a day."""
     from sprucespool.gateway import ReplayError
-    from sprucespool.standin.recorded import asked, written
+    from sprucespool.standin.recorded import encode_asks, recorded_asks
 
     try:
-        asks = asked(records, quantity(work, DURATIONS, "80ms"))
-        out.write_bytes(written(asks))
+        asks = recorded_asks(records, quantity(work, DURATIONS, "80ms"))
+        out.write_bytes(encode_asks(asks))
     except OSError as error:
         raise _refuse(f"{error.filename or out}: {error.strerror or error}") from None
     except (ReplayError, ValueError) as error:
--- a/sprucespool/lab/days.py
+++ b/sprucespool/lab/days.py
@@ -94,7 +94,7 @@
 def ended(world: DayWorld) -> Played:
     """Play it from where it stands to its end, and judge it. Raises StandsStill."""
     world.run(world.day.lasts + AFTER - world.now)
-    world.notes += world.bad_links.all_over(world.now)
+    world.notes += world.bad_links.close_all(world.now)
     return _came(world)
 
 
--- a/sprucespool/lab/world.py
+++ b/sprucespool/lab/world.py
@@ -32,12 +32,20 @@
 from sprucespool.membership import Group, GroupLimits
 from sprucespool.policy import Controller
 from sprucespool.settings.controller import ControllerPlan, Place as At, RosterSource, deployment
-from sprucespool.standin.clients import LISTEN_ON
-from sprucespool.standin.badlinks import BadLinks, parted
+from sprucespool.standin.clients import EXTRA_LISTEN_MS
+from sprucespool.standin.badlinks import BadLinks, partition_sides
 from sprucespool.standin.invoker import Fault
 from sprucespool.standin.schedule import Schedule, Slot, Step, schedule, worker_facts
 from sprucespool.standin.script import Day
-from sprucespool.standin.traffic import LEAST_WAIT, Asking, Plan, catalog, drawn, patience, repeated
+from sprucespool.standin.traffic import (
+    MIN_WAIT_MS,
+    RequestSource,
+    Plan,
+    catalog,
+    draw_troubles,
+    attempt_timeout,
+    should_retry,
+)
 from sprucespool.wire import outcomes
 
 # One way between two processes of a machine, ms; what a piece that is lost costs until it is sent again.
@@ -140,7 +148,7 @@
         **kinds: Any,
     ):
         if day.drawn:
-            day.troubles = sorted([*day.troubles, *drawn(day, day.seed)], key=lambda trouble: trouble.at)
+            day.troubles = sorted([*day.troubles, *draw_troubles(day, day.seed)], key=lambda trouble: trouble.at)
         for trouble in day.troubles:
             if trouble.kind in CANNOT:
                 raise ValueError(f"trouble {trouble.kind}: not in virtual time, where nothing has connections")
@@ -159,7 +167,7 @@
         self.troubled = random.Random(day.seed * 100)
         self.client_chance = random.Random(day.seed + 77)
         self.turn = itertools.count()
-        self.asking = Asking(day)
+        self.asking = RequestSource(day)
         self.library = Library(LibraryFacts(day.library.smooth, day.library.most))
         self.library_due = math.inf
         self.listed_due = 0.0
@@ -191,8 +199,8 @@
         for n, distance in enumerate(day.distances if day.group else []):
             self.links.put(
                 f"distance {n}",
-                day.named(distance.one),
-                day.named(distance.other),
+                day.processes_named(distance.one),
+                day.processes_named(distance.other),
                 LinkState(distance.latency, distance.jitter),
             )
         for slot in self.plan.slots:
@@ -363,8 +371,8 @@
     def _send_try(self, plan: Plan, nth: int, begun: float, avoid: int):
         group = self.model_groups[plan.group]
         begun = begun or self.now
-        ttl = patience(plan, group, nth, begun, self.now)
-        if ttl < LEAST_WAIT:
+        ttl = attempt_timeout(plan, group, nth, begun, self.now)
+        if ttl < MIN_WAIT_MS:
             return self._next(plan)
         which = next(self.turn) % self.controllers
         if which == avoid:
@@ -372,7 +380,7 @@
         tried = _Try(plan, f"{plan.root}.{nth}", nth, begun, ttl, which)
         self.note(seen.Sent(self.now, tried.id, plan.root, which, plan.group, ttl, plan.tenant, nth))
         self._later(WAY.delay, partial(self._at_door, tried, self.now, self.now + ttl))
-        wait = ttl + LISTEN_ON if plan.leaves_part is None else ttl * plan.leaves_part
+        wait = ttl + EXTRA_LISTEN_MS if plan.leaves_part is None else ttl * plan.leaves_part
         self._later(wait, partial(self._waited, tried))
 
     def _at_door(self, tried: _Try, sent: float, until: float):
@@ -446,7 +454,9 @@
         self._repeat(tried, status, False, wait)
 
     def _repeat(self, tried: _Try, status: Status | None, never_ran: bool, wait: float):
-        if repeated(tried.plan, self.model_groups[tried.plan.group], self.day.clients, tried.nth, status, never_ran):
+        if should_retry(
+            tried.plan, self.model_groups[tried.plan.group], self.day.clients, tried.nth, status, never_ran
+        ):
             self._later(
                 wait * self.client_chance.uniform(0.8, 1.2),
                 partial(self._send_try, tried.plan, tried.nth + 1, tried.begun, tried.which),
@@ -905,7 +915,7 @@
 
     def _roster_old(self, step: Step):
         _, self.version, rows = max(
-            (one for one in self.copies if one[0] <= self.now - step.figure),
+            (one for one in self.copies if one[0] <= self.now - step.value),
             default=self.copies[0],
             key=lambda one: one[0],
         )
@@ -939,9 +949,9 @@
 
     def changed(self) -> None:
         """Links or who is held changed: for the judges, and for those whose connections broke."""
-        sides, uneven = parted(self.links, (f"c{n}" for n in range(self.controllers)))
+        sides, uneven = partition_sides(self.links, (f"c{n}" for n in range(self.controllers)))
         self.noted.append(Faulted(self.now, sides, sorted(self.still), uneven))
-        self.notes += self.bad_links.look(self.now, self.links, range(self.controllers), self.places)
+        self.notes += self.bad_links.update(self.now, self.links, range(self.controllers), self.places)
         self.links_changed()
 
     @property
@@ -983,7 +993,7 @@
     def act(world: DayWorld, step: Step):
         world._library_done(world.library.advance(world.now))
         for name, value in what.items():
-            setattr(world.library, name, step.figure if value is None else value)
+            setattr(world.library, name, step.value if value is None else value)
         world._library_done([])
 
     return act
@@ -997,7 +1007,7 @@
     "restart": lambda world, step: world.start(world.standing[step.target].box),
     "start-new": DayWorld._start_new,
     "roster-old": DayWorld._roster_old,
-    "roster-lag": lambda world, step: setattr(world, "extra", step.figure),
+    "roster-lag": lambda world, step: setattr(world, "extra", step.value),
     "roster-down": lambda world, step: world.roster_down(),
     "roster-up": lambda world, step: world.roster_down(False),
     "library-slow": _library(slow=None),
--- a/sprucespool/standin/badlinks.py
+++ b/sprucespool/standin/badlinks.py
@@ -10,14 +10,14 @@
 from sprucespool.judge.seen import BadLink
 
 # What the rules allow between a call-off and another forward is more than this, ms.
-SLOW = 40.0
+MAX_GOOD_DELAY_MS = 40.0
 
 
-def bad(state: LinkState) -> bool:
-    return bool(state.cut) or state.loss > 0 or state.delay + state.jitter > SLOW
+def is_bad(state: LinkState) -> bool:
+    return bool(state.cut) or state.loss > 0 or state.delay + state.jitter > MAX_GOOD_DELAY_MS
 
 
-def parted(links: Links, members: Iterable[str]) -> tuple[list[list[str]], bool]:
+def partition_sides(links: Links, members: Iterable[str]) -> tuple[list[list[str]], bool]:
     """What of the faults concerns these among themselves: their sides, where they are cleanly parted, or that it is
     uneven. Who is cut off from the roster or from invokers alone still reaches all others; distances are no fault."""
     every = set(members)
@@ -45,20 +45,20 @@
 
     since: dict[tuple[int, str], float] = field(default_factory=dict)
 
-    def look(self, now: float, links: Links, controllers: Iterable[int], invokers: Iterable[str]) -> list[BadLink]:
+    def update(self, now: float, links: Links, controllers: Iterable[int], invokers: Iterable[str]) -> list[BadLink]:
         """Those that are well again now; `invokers` by the names that links know."""
         places = list(invokers)
         now_bad = {
             (number, place)
             for number in controllers
             for place in places
-            if bad(links.between(f"c{number}", place)) or bad(links.between(place, f"c{number}"))
+            if is_bad(links.between(f"c{number}", place)) or is_bad(links.between(place, f"c{number}"))
         }
         for pair in now_bad - self.since.keys():
             self.since[pair] = now
         return [BadLink(self.since.pop(pair), *pair, now) for pair in sorted(self.since.keys() - now_bad)]
 
-    def all_over(self, now: float) -> list[BadLink]:
+    def close_all(self, now: float) -> list[BadLink]:
         """Those that last to the end."""
         found = [BadLink(since, *pair, now) for pair, since in sorted(self.since.items())]
         self.since.clear()
--- a/sprucespool/standin/clients.py
+++ b/sprucespool/standin/clients.py
@@ -17,14 +17,14 @@
 from sprucespool.settings.controller import Group, address
 from sprucespool.standin.script import Day
 from sprucespool.standin.trace import Notes, now_ms
-from sprucespool.standin.traffic import LEAST_WAIT, Asking, Plan, patience, repeated
+from sprucespool.standin.traffic import MIN_WAIT_MS, RequestSource, Plan, attempt_timeout, should_retry
 from sprucespool.transport.plan import PoolLimits
 from sprucespool.transport.pool import FINAL_EVENTS, Broken, CallEvent, Pool, PoolCall, Unconnected
 from sprucespool.wire import inference_pb2 as oip
 from sprucespool.wire import names, outcomes
 
 # How long a client listens on after its time, only to see whether an answer comes all the same.
-LISTEN_ON = 1500.0
+EXTRA_LISTEN_MS = 1500.0
 
 
 class ClientsPlan(msgspec.Struct):
@@ -64,7 +64,7 @@
         )
         self.pools = [Pool(*address(where), Limits(), limits, n) for n, where in enumerate(told.controllers)]
         self.turn = itertools.count()
-        self.asking = Asking(told.day)
+        self.asking = RequestSource(told.day)
         # Tries out, and users that think.
         self.open = 0
         self.quiet = asyncio.Event()
@@ -102,8 +102,8 @@
     def _send(self, plan: Plan, nth: int, begun: float, avoid: int):
         now, group = now_ms(), self.groups[plan.group]
         begun = begun or now
-        ttl = patience(plan, group, nth, begun, now)
-        if ttl < LEAST_WAIT:
+        ttl = attempt_timeout(plan, group, nth, begun, now)
+        if ttl < MIN_WAIT_MS:
             return self._next(plan)
         which = next(self.turn) % len(self.pools)
         if which == avoid:
@@ -116,7 +116,7 @@
         one.call = self.pools[which].call(
             path, metadata, ttl, self._request(plan, one.id, group), lambda event: self._heard(one, event)
         )
-        wait = ttl + LISTEN_ON if plan.leaves_part is None else ttl * plan.leaves_part
+        wait = ttl + EXTRA_LISTEN_MS if plan.leaves_part is None else ttl * plan.leaves_part
         one.timer = self.loop.call_later(wait / 1000.0, self._waited, one)
 
     def _waited(self, one: _Try):
@@ -157,7 +157,7 @@
             never = isinstance(event, Unconnected) or isinstance(event, Reset) and event.never_ran
             self.notes.write(seen.Unreached(now, one.id, isinstance(event, (Broken, Reset)) and not never))
         self._over(one)
-        if repeated(one.plan, group, self.day.clients, one.nth, status, never):
+        if should_retry(one.plan, group, self.day.clients, one.nth, status, never):
             spread = wait * self.chance.uniform(0.8, 1.2)
             self.open += 1
             self.loop.call_later(spread / 1000.0, self._again, one)
--- a/sprucespool/standin/links.py
+++ b/sprucespool/standin/links.py
@@ -18,10 +18,10 @@
 from sprucespool.transport.read_buffer import read_buffer
 
 # What a relay holds of one direction before it stops reading; how late a lost piece comes, as TCP sends it again.
-MOST_HELD, AGAIN_AFTER = 1 << 20, 200.0
+MAX_BUFFERED_BYTES, RESEND_DELAY_MS = 1 << 20, 200.0
 # What a cut held for longer never arrives: when it ends, such a connection is reset, as boxes on the way do that forgot
 # it. Else calls long given up would reach their invokers when the network heals, and look as if sent then.
-STALE = 400.0
+STALE_MS = 400.0
 
 
 class _End(asyncio.BufferedProtocol):
@@ -67,7 +67,7 @@
         state, now = self.state(), self.loop.time() * 1000.0
         due = now + state.delay + state.jitter * self.chance.random()
         if state.loss and self.chance.random() < state.loss:
-            due += AGAIN_AFTER
+            due += RESEND_DELAY_MS
         if state.bandwidth:
             self.free_at = max(now, self.free_at) + len(data) / state.bandwidth * 1000.0
             due = max(due, self.free_at)
@@ -75,7 +75,7 @@
         self.last = max(self.last, due)
         self.waiting.append((self.last, data))
         self.held += len(data)
-        if self.held > MOST_HELD and self.reader is not None and self.reader.transport is not None:
+        if self.held > MAX_BUFFERED_BYTES and self.reader is not None and self.reader.transport is not None:
             self.paused = True
             self.reader.transport.pause_reading()
         self.push()
@@ -88,7 +88,7 @@
         if self.writer is None or self.writer.transport is None or self.writer.transport.is_closing():
             return
         now, cut = self.loop.time() * 1000.0, self.state().cut
-        if self.stopped and not cut and self.waiting and now - self.waiting[0][0] > STALE:
+        if self.stopped and not cut and self.waiting and now - self.waiting[0][0] > STALE_MS:
             return self.stale()
         self.stopped = bool(cut)
         while self.waiting and self.waiting[0][0] <= now + 0.5:
@@ -104,7 +104,12 @@
             _, data = self.waiting.popleft()
             self.held -= len(data)
             self.writer.transport.write(data)
-        if self.paused and self.held < MOST_HELD // 2 and self.reader is not None and self.reader.transport is not None:
+        if (
+            self.paused
+            and self.held < MAX_BUFFERED_BYTES // 2
+            and self.reader is not None
+            and self.reader.transport is not None
+        ):
             self.paused = False
             self.reader.transport.resume_reading()
         if self.waiting and not cut:
@@ -215,7 +220,7 @@
             )
             self.port = self.server.sockets[0].getsockname()[1]
 
-    def shut(self) -> None:
+    def stop_listening(self) -> None:
         """As when nothing listens there: new connections are refused, old ones reset."""
         if self.server is not None:
             self.server.close()
@@ -223,7 +228,7 @@
         for connection in list(self.connections):
             connection.end()
 
-    async def lead_to(self, where: str) -> None:
+    async def set_target(self, where: str) -> None:
         self.target = address(where)
         await self.open()
 
@@ -233,7 +238,7 @@
             connection.push()
 
     async def close(self) -> None:
-        self.shut()
+        self.stop_listening()
         with contextlib.suppress(asyncio.CancelledError):
             await asyncio.sleep(0)
 
@@ -257,13 +262,13 @@
         self.sources[where] = name
         return where
 
-    async def before(self, name: str) -> Relay:
+    async def relay_for(self, name: str) -> Relay:
         """The relay that `name` is known by; made at the first asking."""
         if name not in self.relays:
             number = len(self.relays) + 1
             relay = self.relays[name] = Relay(name, self.links, self.sources, self.seed * 1009 + number)
             await relay.listen(f"127.42.{number // 250}.{number % 250 + 1}")
-            relay.shut()
+            relay.stop_listening()
         return self.relays[name]
 
     def changed(self) -> None:
--- a/sprucespool/standin/processes.py
+++ b/sprucespool/standin/processes.py
@@ -8,7 +8,7 @@
 import threading
 from pathlib import Path
 
-START_WITHIN = 30.0
+START_TIMEOUT_S = 30.0
 
 
 class StageFailed(Exception):
@@ -22,7 +22,7 @@
         self.log = log
         with open(log, "ab") as errors:
             self.popen = subprocess.Popen(command, stdout=subprocess.PIPE, stderr=errors, stdin=subprocess.PIPE)
-        self.rest = ""
+        self.remaining_output = ""
         self.ready: asyncio.Future[str] = asyncio.get_running_loop().create_future()
         loop = asyncio.get_running_loop()
 
@@ -30,7 +30,7 @@
             assert self.popen.stdout is not None
             line = self.popen.stdout.readline().decode().strip()
             loop.call_soon_threadsafe(self._said, line)
-            self.rest = self.popen.stdout.read().decode(errors="replace")
+            self.remaining_output = self.popen.stdout.read().decode(errors="replace")
 
         self.reader = threading.Thread(target=read, daemon=True)
         self.reader.start()
@@ -41,11 +41,11 @@
 
     async def started(self) -> str:
         try:
-            line = await asyncio.wait_for(asyncio.shield(self.ready), START_WITHIN)
+            line = await asyncio.wait_for(asyncio.shield(self.ready), START_TIMEOUT_S)
         except TimeoutError:
             line = ""
         if not line:
-            raise StageFailed(f"did not start; its last words: {self.last_words()}")
+            raise StageFailed(f"did not start; its last words: {self.last_log_line()}")
         return line
 
     def begin(self, at: float) -> None:
@@ -54,7 +54,7 @@
             self.popen.stdin.write(f"{at}\n".encode())
             self.popen.stdin.flush()
 
-    def last_words(self) -> str:
+    def last_log_line(self) -> str:
         text = self.log.read_text(errors="replace").strip()
         return text.splitlines()[-1][:300] if text else "none"
 
--- a/sprucespool/standin/recorded.py
+++ b/sprucespool/standin/recorded.py
@@ -39,7 +39,7 @@
     return msgspec.structs.replace(day, asks=asks, recorded=None)
 
 
-def asked(records: Iterable[Path], work: float) -> list[Ask]:
+def recorded_asks(records: Iterable[Path], work: float) -> list[Ask]:
     """What the controllers that wrote these records were asked, in order of time from the first on; repeats are left
     out, as clients of a day make their own. `work`: ms of one whose client gave no hint. Clocks are those of one
     machine. Raises ReplayError, OSError."""
@@ -59,6 +59,6 @@
     )
 
 
-def written(asks: Iterable[Ask]) -> bytes:
+def encode_asks(asks: Iterable[Ask]) -> bytes:
     """A line each."""
     return b"".join(msgspec.json.encode(ask) + b"\n" for ask in asks)
--- a/sprucespool/standin/rig.py
+++ b/sprucespool/standin/rig.py
@@ -62,7 +62,7 @@
     async def start(self, name: str, place: Place | None = None, seeds: list[str] | None = None) -> None:
         """Start a controller, or one anew at the place it had."""
         self.places[name] = place = place or self.places[name]
-        relay = await self.relays.before(name)
+        relay = await self.relays.relay_for(name)
         plan = ControllerPlan(
             listen="127.0.0.1:0",
             roster=RosterSource(file=str(self.rosters.get(name, self.folder / "invokers.kdl"))),
@@ -94,7 +94,7 @@
         where = (await process.started()).removeprefix("listening on ")
         self.watch.note(seen.Began(now_ms(), name))
         self.watch.add(name, where)
-        await relay.lead_to(where)
+        await relay.set_target(where)
 
     async def start_all(self, count: int, regions: int = 1, zones: int = 3, of: int = 0) -> list[str]:
         names = [f"c{n}" for n in range(count)]
@@ -102,14 +102,14 @@
             zone = n % zones
             self.places[name] = Place(n, of or count, f"z{zone}", f"r{zone % regions}")
         for name in names[:3]:
-            self.seeds.append((await self.relays.before(name)).address)
+            self.seeds.append((await self.relays.relay_for(name)).address)
         await asyncio.gather(*(self.start(name) for name in names))
         return names
 
     def kill(self, name: str) -> None:
         self.watch.note(seen.Ended(now_ms(), name, "killed"))
         self.watch.drop(name)
-        self.relays.relays[name].shut()
+        self.relays.relays[name].stop_listening()
         self.processes.pop(name).signal(signal.SIGKILL)
 
     async def leave(self, name: str) -> int | None:
@@ -119,7 +119,7 @@
         process = self.processes.pop(name)
         process.signal(signal.SIGTERM)
         code = await process.ended(15.0)
-        self.relays.relays[name].shut()
+        self.relays.relays[name].stop_listening()
         return code
 
     def hold(self, names: Iterable[str]) -> None:
@@ -129,7 +129,7 @@
             self.watch.quiet.add(name)
             self.processes[name].signal(signal.SIGSTOP)
 
-    def let_go(self, names: Iterable[str]) -> None:
+    def resume(self, names: Iterable[str]) -> None:
         for name in names:
             self.processes[name].signal(signal.SIGCONT)
             self.watch.quiet.discard(name)
@@ -137,7 +137,7 @@
 
     # Links
 
-    def part(self, sides: list[list[str]], cut: str = "silent") -> None:
+    def partition(self, sides: list[list[str]], cut: str = "silent") -> None:
         self.relays.links.partition("partition", sides, cut)
         self.watch.note(seen.Faulted(now_ms(), sides=sides))
         self.relays.changed()
@@ -176,7 +176,7 @@
             sum(row.state in (seen.ALIVE, seen.SUSPECT) for row in view.rows) == len(chosen) for view in views if view
         )
 
-    def holds_gone(self, name: str, among: Iterable[str] | None = None) -> bool:
+    def sees_removed(self, name: str, among: Iterable[str] | None = None) -> bool:
         chosen = set(self.processes if among is None else among)
         return all(
             view is not None and all(row.name != name or row.state in (seen.DEAD, seen.LEFT) for row in view.rows)
--- a/sprucespool/standin/schedule.py
+++ b/sprucespool/standin/schedule.py
@@ -53,7 +53,7 @@
     what: str
     target: int = -1
     span: float = 0.0
-    figure: float = 0.0
+    value: float = 0.0
     # Of a fault of links: its name, the sides it parts, and what holds between them.
     name: str = ""
     sides: tuple[frozenset[str], ...] = ()
@@ -90,21 +90,21 @@
 
 def _near(found: Schedule, trouble: Trouble, day: Day) -> list[Slot]:
     """Those of the zone, region, cell or invoker that the trouble names; all of them, if it names none."""
-    names = day.named(trouble.what) if trouble.what else None
+    names = day.processes_named(trouble.what) if trouble.what else None
     return [slot for slot in found.slots if names is None or f"i{slot.number}" in names]
 
 
 def _link(trouble: Trouble, day: Day, name: str) -> list[Step]:
     def named(names: str) -> frozenset[str]:
-        return frozenset().union(*(day.named(one) for one in names.split(",")))
+        return frozenset().union(*(day.processes_named(one) for one in names.split(",")))
 
     if trouble.and_:
         sides: tuple[frozenset[str], ...] = (named(trouble.between), named(trouble.and_))
     elif "," in trouble.between:
-        sides = tuple(frozenset(day.named(one)) for one in trouble.between.split(","))
+        sides = tuple(frozenset(day.processes_named(one)) for one in trouble.between.split(","))
     else:
         alone = named(trouble.between)
-        every = frozenset().union(*(day.named(zone) for zone in day.zones)) | {"roster"}
+        every = frozenset().union(*(day.processes_named(zone) for zone in day.zones)) | {"roster"}
         sides = (alone, every - alone)
     state = {
         "partition": LinkState(cut=trouble.how),
@@ -162,13 +162,13 @@
             steps.append(Step(at, "kill", slot.number))
             steps.append(Step(at + trouble.span, "restart", slot.number))
     elif kind == "stale-roster":
-        steps += [Step(at, "roster-lag", figure=trouble.span), Step(at + lasts, "roster-lag")]
+        steps += [Step(at, "roster-lag", value=trouble.span), Step(at + lasts, "roster-lag")]
     elif kind == "roster-old":
-        steps.append(Step(at, "roster-old", figure=trouble.span))
+        steps.append(Step(at, "roster-old", value=trouble.span))
     elif kind == "roster-down":
         steps += [Step(at, "roster-down"), Step(at + lasts, "roster-up")]
     elif kind == "library-slow":
-        steps += [Step(at, "library-slow", figure=trouble.factor), Step(at + lasts, "library-slow", figure=1.0)]
+        steps += [Step(at, "library-slow", value=trouble.factor), Step(at + lasts, "library-slow", value=1.0)]
     elif kind == "library-down":
         steps += [Step(at, "library-down"), Step(at + lasts, "library-up")]
     elif kind == "stall":
@@ -179,23 +179,31 @@
     elif kind in AT_LINKS:
         steps += _link(trouble, day, f"{kind} {len(steps)}")
     elif kind in ("zone-lost", "invokers-lost"):
-        for name in sorted(day.named(trouble.what)):
+        for name in sorted(day.processes_named(trouble.what)):
             if kind == "invokers-lost" and name[0] != "i":
                 continue
             number = int(name[1:])
             what = ("kill", "restart") if name[0] == "i" else ("controller-kill", "controller-start")
             steps += [Step(at, what[0], number), Step(at + lasts, what[1], number)]
     elif kind == "controller-kill":
-        names = sorted(day.named(trouble.what)) if trouble.what else [f"c{chance.randrange(day.controllers)}"]
+        names = sorted(day.processes_named(trouble.what)) if trouble.what else [f"c{chance.randrange(day.controllers)}"]
         steps += [Step(at, "controller-kill", int(name[1:])) for name in names if name[0] == "c"]
     elif kind == "controller-stop":
-        steps += [Step(at, "stall", int(name[1:]), lasts) for name in sorted(day.named(trouble.what)) if name[0] == "c"]
+        steps += [
+            Step(at, "stall", int(name[1:]), lasts)
+            for name in sorted(day.processes_named(trouble.what))
+            if name[0] == "c"
+        ]
     elif kind == "clock-jump":
-        steps += [Step(at, "clock-jump", int(name[1:])) for name in sorted(day.named(trouble.what)) if name[0] == "c"]
+        steps += [
+            Step(at, "clock-jump", int(name[1:]))
+            for name in sorted(day.processes_named(trouble.what))
+            if name[0] == "c"
+        ]
     elif kind == "drain-zone":
         steps += [Step(at, "drain-zone", name=trouble.what), Step(at + lasts, "undrain-zone", name=trouble.what)]
     elif kind == "controller-restart":
-        restarted = day.named(trouble.what) if trouble.what else {f"c{chance.randrange(day.controllers)}"}
+        restarted = day.processes_named(trouble.what) if trouble.what else {f"c{chance.randrange(day.controllers)}"}
         for target in sorted(int(name[1:]) for name in restarted if name[0] == "c"):
             steps.append(Step(at, "controller-kill", target))
             steps.append(Step(at + trouble.span, "controller-start", target))
--- a/sprucespool/standin/script.py
+++ b/sprucespool/standin/script.py
@@ -131,18 +131,18 @@
                 "drift of 0 or more"
             )
 
-    def rushes(self, at: float) -> bool:
+    def in_rush(self, at: float) -> bool:
         return self.rush_factor > 1 and self.rush_at <= at < self.rush_at + self.rush_lasts
 
     @property
-    def most_rate(self) -> float:
+    def max_rate(self) -> float:
         """Inferences a second without troubles, or, of users whose answers take no time, with."""
         return self.rate or self.users * 1000.0 / self.think
 
     def rate_at(self, at: float) -> float:
         """Inferences a second at that time, less what troubles make of it."""
         swung = self.rate * (1 + self.wave * math.sin(2 * math.pi * at / self.wave_period)) if self.wave else self.rate
-        return swung * self.rush_factor if self.rushes(at) else swung
+        return swung * self.rush_factor if self.in_rush(at) else swung
 
 
 class Ask(msgspec.Struct):
@@ -320,13 +320,13 @@
             if trouble.kind in AT_LINKS and self.group is None:
                 raise ValueError(f"trouble {trouble.kind}: expected a group node, which brings the links")
             for name in filter(None, (*trouble.between.split(","), *trouble.and_.split(","))):
-                self.named(name)
+                self.processes_named(name)
             if trouble.kind in AT_PLACES and trouble.what:
-                self.named(trouble.what)
+                self.processes_named(trouble.what)
             if trouble.kind in ("zone-lost", "invokers-lost", "controller-stop", "clock-jump") or (
                 trouble.kind in ("controller-kill", "controller-restart") and trouble.what
             ):
-                self.named(trouble.what)
+                self.processes_named(trouble.what)
             if trouble.kind == "drain-zone" and (self.failover is None or trouble.what not in self.zones):
                 raise ValueError("trouble drain-zone: expected a failover node and a zone in what")
             if trouble.at + trouble.lasts > self.lasts:
@@ -336,7 +336,7 @@
         if self.failover is not None and (self.group is None or not self.group.view):
             raise ValueError("failover: expected a group node with view=#true")
         for distance in self.distances:
-            self.named(distance.one), self.named(distance.other)
+            self.processes_named(distance.one), self.processes_named(distance.other)
 
     def region_of(self, zone: str) -> str:
         return next((place.region for place in self.places if place.zone == zone), "")
@@ -346,7 +346,7 @@
         zone = self.zones[invoker % len(self.zones)]
         return f"{zone}-{invoker // len(self.zones) % 2}"
 
-    def named(self, name: str) -> set[str]:
+    def processes_named(self, name: str) -> set[str]:
         """The processes that a zone, region, cell (hall-a-0) or a process's own name stands for. Raises ValueError."""
         invokers = sum(machines.count for machines in self.machines)
         every = [(f"c{n}", n) for n in range(self.controllers)] + [(f"i{n}", n) for n in range(invokers)]
--- a/sprucespool/standin/stage.py
+++ b/sprucespool/standin/stage.py
@@ -37,7 +37,7 @@
     ZonePlace,
 )
 from sprucespool.standin.clients import ClientsPlan
-from sprucespool.standin.badlinks import BadLinks, parted
+from sprucespool.standin.badlinks import BadLinks, partition_sides
 from sprucespool.standin.invoker import InvokerPlan
 from sprucespool.standin.links import Relays
 from sprucespool.standin.platform import DRAINING, GONE, LibraryService, Listed, Roster
@@ -48,7 +48,7 @@
 from sprucespool.standin.script import Day
 from sprucespool.standin.starving import Starving
 from sprucespool.standin.trace import Notes, now_ms
-from sprucespool.standin.traffic import catalog, drawn
+from sprucespool.standin.traffic import catalog, draw_troubles
 from sprucespool.standin.watching import Watch
 from sprucespool.transport.listener import Listener, Server
 
@@ -80,7 +80,7 @@
     def __init__(self, day: Day, options: Options, folder: Path):
         self.day, self.options, self.folder = day, options, folder
         if day.drawn:
-            day.troubles = sorted([*day.troubles, *drawn(day, day.seed)], key=lambda trouble: trouble.at)
+            day.troubles = sorted([*day.troubles, *draw_troubles(day, day.seed)], key=lambda trouble: trouble.at)
         self.plan: Schedule = schedule(day)
         self.catalog = catalog(day)
         self.notes = Notes(str(folder / "stage.jsonl"))
@@ -116,8 +116,8 @@
             assert self.relays is not None
             self.relays.links.put(
                 f"distance {n}",
-                day.named(distance.one),
-                day.named(distance.other),
+                day.processes_named(distance.one),
+                day.processes_named(distance.other),
                 LinkState(distance.latency, distance.jitter),
             )
 
@@ -134,7 +134,7 @@
             place = next((name for name, one in self.relays.relays.items() if one.address == listen), None)
             name = place or (f"i{slot.number}" if old is None else f"i{slot.number}+{boot}")
             self.relays.links.alias[name] = f"i{slot.number}"
-            relay = await self.relays.before(name)
+            relay = await self.relays.relay_for(name)
             listen = "127.0.0.1:0"
         plan = InvokerPlan(
             listen,
@@ -166,7 +166,7 @@
             process.begin(self.begin)
         where = line.removeprefix("listening on ")
         if relay is not None:
-            await relay.lead_to(where)
+            await relay.set_target(where)
             where = relay.address
         listed = Listed(
             where,
@@ -215,7 +215,7 @@
         standing.process.signal(signal.SIGKILL)
         for relay in self.relays.relays.values() if self.relays else ():
             if relay.address == standing.listed.address:
-                relay.shut()
+                relay.stop_listening()
         self.notes.write(seen.Died(now_ms(), standing.listed.address, standing.listed.boot))
 
     # Controllers
@@ -290,7 +290,7 @@
         where = (await process.started()).removeprefix("listening on ")
         self.starving.add(f"c{number}", process.popen.pid)
         if self.relays is not None and self.watch is not None:
-            await self.relays.relays[f"c{number}"].lead_to(where)
+            await self.relays.relays[f"c{number}"].set_target(where)
             self.watch.note(group_seen.Began(now_ms(), f"c{number}"))
             self.watch.add(f"c{number}", where)
         if self.begin:
@@ -360,15 +360,15 @@
         elif step.what == "start-new":
             self._task(self._join(step.target))
         elif step.what == "roster-lag":
-            self.roster.extra = step.figure
+            self.roster.extra = step.value
         elif step.what == "roster-old":
-            self.roster.restore(step.figure)
+            self.roster.restore(step.value)
         elif step.what == "roster-down":
             self.roster.break_all()
         elif step.what == "roster-up":
             self.roster.down = False
         elif step.what == "library-slow":
-            self.library.set(slow=step.figure)
+            self.library.set(slow=step.value)
         elif step.what in ("library-down", "library-up"):
             self.library.set(down=step.what == "library-down")
         elif step.what == "stall":
@@ -377,7 +377,7 @@
             self.killed.add(self.controllers[step.target])
             self.controllers[step.target].signal(signal.SIGKILL)
             if self.relays is not None and self.watch is not None:
-                self.relays.relays[f"c{step.target}"].shut()
+                self.relays.relays[f"c{step.target}"].stop_listening()
                 self.watch.drop(f"c{step.target}")
                 self.watch.note(group_seen.Ended(now_ms(), f"c{step.target}", "killed"))
             self.notes.write(seen.Killed(now_ms(), step.target))
@@ -394,7 +394,7 @@
 
     def _links_changed(self):
         assert self.relays is not None
-        return self.bad_links.look(
+        return self.bad_links.update(
             now_ms(), self.relays.links, range(self.day.controllers), [f"i{slot.number}" for slot in self.plan.slots]
         )
 
@@ -417,7 +417,7 @@
         """What of it concerns the group, for its judge."""
         if self.relays is None or self.watch is None:
             return
-        sides, uneven = parted(self.relays.links, (f"c{n}" for n in range(self.day.controllers)))
+        sides, uneven = partition_sides(self.relays.links, (f"c{n}" for n in range(self.day.controllers)))
         state = sides, sorted(self.watch.quiet), uneven
         if state != self.faulted:
             self.faulted = state
@@ -445,9 +445,9 @@
             port = await self.listener.start("127.0.0.1", 0)
             self.platform = f"127.0.0.1:{port}"
             if self.relays is not None:
-                await (await self.relays.before("roster")).lead_to(self.platform)
+                await (await self.relays.relay_for("roster")).set_target(self.platform)
                 for number in range(day.controllers):
-                    await self.relays.before(f"c{number}")
+                    await self.relays.relay_for(f"c{number}")
             found = await asyncio.gather(*(self._start_invoker(slot, "127.0.0.1:0", False) for slot in self.plan.slots))
             for standing in found:
                 self.standing[standing.slot.number] = standing
@@ -461,7 +461,7 @@
             await asyncio.sleep(0.3)
             if self.watch is not None:
                 self.watch.start()
-            self.starving.look()
+            self.starving.check()
             clients = await self._start_clients()
             for standing in found:
                 standing.process.begin(self.begin)
@@ -474,10 +474,10 @@
                 self._do(step)
             await self._until(self.begin + day.lasts)
             if await clients.ended(45.0) != 0:
-                self.unclean.append(f"the clients did not end: {clients.last_words()}")
+                self.unclean.append(f"the clients did not end: {clients.last_log_line()}")
             while self.tasks:
                 await asyncio.wait(self.tasks, timeout=20.0)
-            for link in self.bad_links.all_over(now_ms()):
+            for link in self.bad_links.close_all(now_ms()):
                 self.notes.write(link)
             verdict = self._group_verdict()
             await self._end_all()
@@ -529,14 +529,14 @@
         for number, process in self.controllers.items():
             code = await process.ended(8.0)
             if code != 0 and process not in self.killed:
-                self.unclean.append(f"controller {number} ended with {code}: {process.last_words()}")
+                self.unclean.append(f"controller {number} ended with {code}: {process.last_log_line()}")
         for standing in self.standing.values():
             standing.process.signal(signal.SIGTERM)
         for standing in self.standing.values():
             code = await standing.process.ended(12.0)
             if code != 0 and standing.process not in self.killed:
                 self.unclean.append(
-                    f"invoker {standing.listed.boot} ended with {code}: {standing.process.last_words()}"
+                    f"invoker {standing.listed.boot} ended with {code}: {standing.process.last_log_line()}"
                 )
 
     def _group_verdict(self) -> group_seen.Verdict | None:
@@ -558,9 +558,9 @@
         day, watch = self.day, self.watch
         table = score(found, {g.name: GroupValue(g.slo_time, g.value, g.late_value) for g in day.model_groups})
         stops = [
-            msgspec.json.decode(process.rest.removeprefix("stopped "))
+            msgspec.json.decode(process.remaining_output.removeprefix("stopped "))
             for process in self.controllers.values()
-            if process.rest.startswith("stopped ")
+            if process.remaining_output.startswith("stopped ")
         ]
         return Result(
             day.name,
--- a/sprucespool/standin/starving.py
+++ b/sprucespool/standin/starving.py
@@ -11,8 +11,8 @@
 from sprucespool.standin.trace import Notes, now_ms
 
 # Waits of less than this many ms between two looks are no matter.
-LEAST = 1.0
-TICK = 1000.0 / os.sysconf("SC_CLK_TCK")
+MIN_NOTED_WAIT_MS = 1.0
+TICK_MS = 1000.0 / os.sysconf("SC_CLK_TCK")
 
 
 class Starving:
@@ -46,18 +46,18 @@
         """ms in all, by core."""
         try:
             lines = (self.proc / "stat").read_text().splitlines()
-            return [int(line.split()[8]) * TICK for line in lines if line.startswith("cpu") and line[3] != " "]
+            return [int(line.split()[8]) * TICK_MS for line in lines if line.startswith("cpu") and line[3] != " "]
         except (OSError, IndexError, ValueError):
             return []
 
-    def look(self) -> None:
-        self.timer = self.loop.call_later(self.every / 1000.0, self.look)
+    def check(self) -> None:
+        self.timer = self.loop.call_later(self.every / 1000.0, self.check)
         waits: dict[str, float] = {}
         for name, (path, before) in list(self.known.items()):
             waited = self._waited(path)
             if waited is None:
                 del self.known[name]
-            elif waited - before >= LEAST:
+            elif waited - before >= MIN_NOTED_WAIT_MS:
                 waits[name] = round(waited - before, 1)
                 self.known[name] = path, waited
         before_all, self.stolen = self.stolen, self._stolen()
--- a/sprucespool/standin/traffic.py
+++ b/sprucespool/standin/traffic.py
@@ -15,7 +15,7 @@
 
 ONE_OFF = "once"
 # Nobody asks for what leaves less, ms.
-LEAST_WAIT = 20.0
+MIN_WAIT_MS = 20.0
 
 
 @dataclass(slots=True)
@@ -34,13 +34,15 @@
     payload: int
 
 
-def patience(plan: Plan, group: Group, nth: int, begun: float, now: float) -> float:
+def attempt_timeout(plan: Plan, group: Group, nth: int, begun: float, now: float) -> float:
     """What a client's try waits, ms: the first a part of the route timeout, a repeat no more than is left of it."""
     wait = plan.ttl_part * group.route_timeout
     return min(wait, begun + group.route_timeout - now) if nth else wait
 
 
-def repeated(plan: Plan, group: Group, clients: ClientHabits, nth: int, status: int | None, never_ran: bool) -> bool:
+def should_retry(
+    plan: Plan, group: Group, clients: ClientHabits, nth: int, status: int | None, never_ran: bool
+) -> bool:
     """Whether a client tries again: what was shed or never ran, any group; else only what is retriable. `status`: of
     the answer, None where there was none."""
     if nth >= clients.retries or plan.leaves_part is not None or status == Status.OK:
@@ -85,7 +87,7 @@
 
 def _one_offs(day: Day, traffic: Traffic) -> int:
     # One at least, as a user of a short day may ask for one all the same.
-    return max(1, int(traffic.most_rate * day.lasts / 1000 * 0.5))
+    return max(1, int(traffic.max_rate * day.lasts / 1000 * 0.5))
 
 
 def _active(troubles: list[Trouble], kind: str, at: float) -> Trouble | None:
@@ -109,7 +111,7 @@
             yield at
 
 
-class Asking:
+class RequestSource:
     """What all clients of a day ask for: `first` is known from its begin; of users whose next question hangs on when
     they got their last answer, `after` draws it. Each user has chance of its own, so who is late changes nothing of
     what others ask."""
@@ -171,7 +173,7 @@
         rank = bisect.bisect(weights, chance.random() * weights[-1])
         rank = min(rank, traffic.models - 1)
         draw, other = chance.random(), chance.random()
-        if traffic.rushes(at) and draw * traffic.rush_factor < traffic.rush_factor - 1:
+        if traffic.in_rush(at) and draw * traffic.rush_factor < traffic.rush_factor - 1:
             rank = 0
         if traffic.drift:
             rank = (rank + int(at // traffic.drift)) % traffic.models
@@ -203,7 +205,7 @@
         )
 
 
-def drawn(day: Day, seed: int) -> list[Trouble]:
+def draw_troubles(day: Day, seed: int) -> list[Trouble]:
     """Troubles of a day drawn by chance, for one that nobody thought out."""
     chance, found = random.Random(seed * 31 + 5), []
     kinds = {
--- a/sprucespool/standin/verdicts.py
+++ b/sprucespool/standin/verdicts.py
@@ -96,7 +96,12 @@
         ),
         default=0.0,
     )
-    killed = {name for trouble in day.troubles if trouble.kind == "controller-kill" for name in day.named(trouble.what)}
+    killed = {
+        name
+        for trouble in day.troubles
+        if trouble.kind == "controller-kill"
+        for name in day.processes_named(trouble.what)
+    }
     bounds = failover_seen.FailoverBounds(
         {zone: day.region_of(zone) or zone for zone in day.zones},
         begin + 3_000.0,
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -14,7 +14,7 @@
 from sprucespool.settings import read
 from sprucespool.standin.script import Day
 from sprucespool.standin.stage import Options, play
-from sprucespool.standin.starving import TICK, Starving
+from sprucespool.standin.starving import TICK_MS, Starving
 from sprucespool.standin.trace import Notes
 
 pytestmark = pytest.mark.sockets
@@ -144,7 +144,7 @@
         (tmp_path / "7" / "schedstat").write_text(f"5 {int(waited * 1e6)} 9\n")
         (tmp_path / "stat").write_text(
             "cpu  1 1 1 1 1 1 1 900 0 0\n"
-            + "".join(f"cpu{n} 1 1 1 1 1 1 1 {int(one / TICK)} 0 0\n" for n, one in enumerate(stolen))
+            + "".join(f"cpu{n} 1 1 1 1 1 1 1 {int(one / TICK_MS)} 0 0\n" for n, one in enumerate(stolen))
         )
 
     async def script():
@@ -155,10 +155,10 @@
         starving.add("never", 8)
         for waited, stolen in ((100.4, (500.0, 0.0)), (130.0, (520.0, 50.0)), (130.0, (520.0, 50.0))):
             tell(waited, stolen)
-            starving.look()
+            starving.check()
             starving.stop()
         (tmp_path / "7" / "schedstat").unlink()
-        starving.look()
+        starving.check()
         starving.stop()
         notes.close()
 
--- a/tests/test_fleet_sockets.py
+++ b/tests/test_fleet_sockets.py
@@ -136,7 +136,7 @@
             assert same.returncode == 0 and "know the same" in same.stdout
             as_json = await loop.run_in_executor(None, command, "--json", where[-1])
             assert len(json.loads(as_json.stdout)["invokers"]) == 1_000
-            rig.part([["c0"], [*names[1:], "late"]])
+            rig.partition([["c0"], [*names[1:], "late"]])
             rig.rosters["c0"].write_text('invoker "127.0.0.1:20000" zone="z0" kind="k" draining=true\n')
             assert await rig.until(lambda: ("127.0.0.1:20000", "", "draining") in newest["c0"].rows, 30.0) is not None
             differ = await loop.run_in_executor(None, command, "--compare", where[0], where[-1])
--- a/tests/test_group_sockets.py
+++ b/tests/test_group_sockets.py
@@ -45,7 +45,7 @@
 def test_three_partitions_with_members_ending_on_each_side_merge_again(tmp_path):
     async def script(rig, names):
         sides = [names[n::3] for n in range(3)]
-        rig.part(sides)
+        rig.partition(sides)
         rig.kill(sides[0].pop())
         assert await rig.leave(sides[1].pop()) == 0
         assert await rig.until(lambda: all(rig.alike(side) for side in sides), LONG_SECONDS) is not None
@@ -62,7 +62,7 @@
     async def script(rig, names):
         for name in names[::3]:
             rig.kill(name)
-        assert await rig.until(lambda: all(rig.holds_gone(name) for name in names[::3]), LONG_SECONDS) is not None
+        assert await rig.until(lambda: all(rig.sees_removed(name) for name in names[::3]), LONG_SECONDS) is not None
         await asyncio.gather(*(rig.start(name) for name in names[::3]))
         assert await rig.until(rig.alike, LONG_SECONDS) is not None
 
@@ -75,7 +75,7 @@
         rig.hold(zone)
         others = [name for name in names if name not in zone]
         await rig.until(lambda: rig.alike(others), 10.0)
-        rig.let_go(zone)
+        rig.resume(zone)
         assert await rig.until(rig.alike, LONG_SECONDS) is not None
 
     assert played(tmp_path, script).broken == []
@@ -234,7 +234,7 @@
             about=About(line.region, line.zone, line.number, line.of, line.build),
         )
         assert await rig.leave(names[2]) == 0
-        assert await rig.until(lambda: rig.holds_gone(names[2]), LONG_SECONDS) is not None
+        assert await rig.until(lambda: rig.sees_removed(names[2]), LONG_SECONDS) is not None
         await rig.start(names[2])
         assert await rig.until(rig.alike, LONG_SECONDS) is not None
         before = rig.watch.newest[names[0]].digest
@@ -251,7 +251,7 @@
         told = (rig.folder / f"{names[0]}.log").read_text()
         assert '"x1999"' not in told, "a member that was never present has no event"
         await rig.leave(names[1])
-        assert await rig.until(lambda: rig.holds_gone(names[1]) and rig.alike(), LONG_SECONDS) is not None
+        assert await rig.until(lambda: rig.sees_removed(names[1]) and rig.alike(), LONG_SECONDS) is not None
         pool.close()
 
     assert played(tmp_path, script, 4).broken == []
@@ -275,7 +275,7 @@
         assert json.loads(told.stdout)["live"] == len(names)
         same = await loop.run_in_executor(None, command, "--compare", *addresses)
         assert same.returncode == 0 and "see the same" in same.stdout
-        rig.part([names[:2], names[2:]])
+        rig.partition([names[:2], names[2:]])
         assert await rig.until(lambda: rig.alike(names[:2]) and rig.alike(names[2:]), LONG_SECONDS) is not None
         views = [await fetch(one) for one in addresses]
         assert any(line.startswith("c0 at") for line in differences(views))
@@ -294,7 +294,7 @@
 
 async def partitioned(rig, names):
     sides = [names[::2], names[1::2]]
-    rig.part(sides)
+    rig.partition(sides)
     # A broken build may not converge even to this.
     await rig.until(lambda: all(rig.alike(side) for side in sides), 30.0)
     await asyncio.sleep(2)
@@ -406,7 +406,7 @@
         await rig.start(names[2])
         assert await rig.until(lambda: shares() == whole, LONG_SECONDS) is not None
         rig.kill(names[1])
-        assert await rig.until(lambda: rig.holds_gone(names[1]), LONG_SECONDS) is not None
+        assert await rig.until(lambda: rig.sees_removed(names[1]), LONG_SECONDS) is not None
         assert shares() == [1 / 3] * 2, "a crash cannot be distinguished from a partition, so nothing is lent"
 
     assert played(tmp_path, script, 3).broken == []
--- a/tests/test_lab_days.py
+++ b/tests/test_lab_days.py
@@ -32,7 +32,7 @@
 from sprucespool.standin.baselines import DECIDERS, GATEWAYS
 from sprucespool.standin.recorded import with_recorded
 from sprucespool.standin.script import Day, Recorded
-from sprucespool.standin.traffic import Asking, catalog
+from sprucespool.standin.traffic import RequestSource, catalog
 
 ROOT = Path(__file__).parent.parent
 
@@ -160,17 +160,17 @@
     links.put("far", ["c0"], ["i0"], LinkState(delay=15.0, jitter=3.0))
     links.put("cut", ["c1"], ["i0"], LinkState(cut="silent"), both=False)
     links.put("lossy", ["c0"], ["i1"], LinkState(loss=0.1))
-    assert watch.look(10.0, links, range(2), ["i0", "i1"]) == []
+    assert watch.update(10.0, links, range(2), ["i0", "i1"]) == []
     links.heal("cut")
-    assert watch.look(30.0, links, range(2), ["i0", "i1"]) == [seen.BadLink(10.0, 1, "i0", 30.0)]
-    assert watch.all_over(50.0) == [seen.BadLink(10.0, 0, "i1", 50.0)] and watch.all_over(60.0) == []
+    assert watch.update(30.0, links, range(2), ["i0", "i1"]) == [seen.BadLink(10.0, 1, "i0", 30.0)]
+    assert watch.close_all(50.0) == [seen.BadLink(10.0, 0, "i1", 50.0)] and watch.close_all(60.0) == []
 
 
 def asked(text, group="line"):
     """Times and models of a group's inferences on a long day with that traffic alone."""
     told = HEAD.replace('lasts "7s"', 'lasts "60s"').replace('traffic "bill" rate=15.0 models=3 work="40ms"\n', "")
     day = read(Day, told.replace("models=8", f"models=8 {text}") + 'name "shape"\nfleet\n', "day")
-    return [(plan.at, int(plan.model.rpartition("-")[2])) for plan in Asking(day).first() if plan.group == group]
+    return [(plan.at, int(plan.model.rpartition("-")[2])) for plan in RequestSource(day).first() if plan.group == group]
 
 
 def test_traffic_swings_rushes_and_drifts_as_the_script_says():
@@ -421,9 +421,9 @@
     day = script('name "x"\ntraffic "line" users=1 think="30s"\ntrouble "scan" at="0s" lasts="7s" share=1.0\n')
     number = len(day.traffics) - 1
     models = {
-        Asking(day)._of_user(number, 0, count, 0.0).model
+        RequestSource(day)._of_user(number, 0, count, 0.0).model
         for count in range(60)
-        if Asking(day)._of_user(number, 0, count, 0.0) is not None
+        if RequestSource(day)._of_user(number, 0, count, 0.0) is not None
     }
     assert models == {"line-once-0"} and "line-once-0" in catalog(day)
 
@@ -472,7 +472,7 @@
     assert [ask.at for ask in whole.asks[:3]] == [0.0, 25.0, 50.0] and whole.asks[-1].at == 1_950.0
     came = play(whole)
     assert came.broken == [] and came.table.taken >= 60 and came.table.in_slo_time > 30
-    assert {one.model for one in Asking(whole).first()} == {"m0", "m1", "m2"}
+    assert {one.model for one in RequestSource(whole).first()} == {"m0", "m1", "m2"}
     out.write_text(out.read_text() + '{"group": "line", "at": 3, "model": 7}\n')
     with pytest.raises(ValueError, match=r"trace.jsonl:61: Expected `str`, got `int` - at `\$.model`"):
         with_recorded(day, tmp_path)
