--- a/sprucespool/standin/invoker.py
+++ b/sprucespool/standin/invoker.py
@@ -1,6 +1,7 @@
-"""A stand-in invoker process: the worker model behind the Open Inference Protocol, with faults by time.
+"""A stand-in invoker process: serves the worker model over the Open Inference Protocol, with scheduled faults.
 
-Run as `sprucespool invoker` or, with all its faults, by the stage: `python -m sprucespool.standin.invoker PLAN.json`.
+Started by `sprucespool invoker`, or by the stage, which also passes faults:
+`python -m sprucespool.standin.invoker PLAN.json`.
 """
 
 from __future__ import annotations
@@ -45,7 +46,10 @@
 
 
 class Fault(msgspec.Struct):
-    """From `at` (ms after the day's begin) for `lasts`; `share` of answers or models, where that is meant."""
+    """A fault that starts `at` ms after the start of the day and lasts `lasts` ms.
+
+    `share` is a share of the answers or of the models, for the kinds that use it.
+    """
 
     kind: str
     at: float
@@ -57,13 +61,13 @@
 
 
 class InvokerPlan(msgspec.Struct):
-    """All that a stand-in invoker is started with."""
+    """The configuration that a stand-in invoker is started with."""
 
     listen: str
     boot: str
     facts: WorkerFacts
     catalog: dict[str, ModelInfo] = {}
-    # For models that the catalog does not have; None: they are refused.
+    # Used for models that are not in the catalog; None: such models are refused.
     any_model: ModelInfo | None = None
     library: str | None = None
     notes: str | None = None
@@ -74,25 +78,25 @@
     seed: int = 1
     drain_within: float = 10_000.0
     faults: list[Fault] = []
-    # The address that others know it by; None: where it listens.
+    # The address under which other processes reach it; None: the listening address.
     advertise: str | None = None
-    # Its place in the day, by which links to it are cut.
+    # Its name in the links of the day, which faults of links refer to.
     place: str = ""
 
 
 @dataclass(slots=True, eq=False)
-class _Held:
+class _PendingCall:
     call: ServerCall
-    n: int
+    number: int
     id: str
     model: str
     results: int = 0
-    gap: float = 0.0
-    over: bool = False
+    gap_ms: float = 0.0
+    closed: bool = False
 
 
 class _Catalog(dict):
-    """Knows any model, where the plan says so."""
+    """The models by name; returns `any_model` of the plan, if set, for models that it does not list."""
 
     def __init__(self, plan: InvokerPlan):
         super().__init__(plan.catalog)
@@ -103,12 +107,12 @@
 
 
 class StandIn:
-    """The process's whole life: sockets on one side, the worker model on the other."""
+    """Connects the sockets of the process with the worker model and applies the faults."""
 
     def __init__(self, plan: InvokerPlan):
         self.plan, self.loop = plan, asyncio.get_running_loop()
         self.notes = Notes(plan.notes) if plan.notes else None
-        self.chance = random.Random(plan.seed)
+        self.rng = random.Random(plan.seed)
         self.worker = Worker(plan.facts, _Catalog(plan), now_ms(), cold=plan.cold)
         self.listener = Listener(
             {
@@ -124,13 +128,13 @@
             Server(),
         )
         self.library: Pool | None = None
-        self.numbers = 0
-        self.held: dict[Job, _Held] = {}
+        self.call_count = 0
+        self.pending_calls: dict[Job, _PendingCall] = {}
         self.withheld: list[Finished] = []
         self.timer: asyncio.TimerHandle | None = None
         self.ended = asyncio.Event()
         self.name = self.where = plan.listen
-        self.bad_calls = 0
+        self.malformed_calls = 0
         self.faults: list[Fault] = []
 
     def note(self, what: Any):
@@ -138,9 +142,9 @@
             self.notes.write(what)
 
     async def start(self) -> int:
-        host, port = address(self.plan.listen)
-        found = await self.listener.start(host, port)
-        self.where = f"{host}:{found}"
+        host, wanted_port = address(self.plan.listen)
+        port = await self.listener.start(host, wanted_port)
+        self.where = f"{host}:{port}"
         self.name = self.plan.advertise or self.where
         if self.plan.library:
             self.library = Pool(*address(self.plan.library), Limits(), PoolLimits(), self.plan.seed)
@@ -159,15 +163,18 @@
                 self.plan.place,
             )
         )
-        return found
+        return port
 
     def begin(self, at: float) -> None:
-        """The day's begin on the machine's clock, known only when all processes stand: faults run from it."""
+        """Schedule the faults relative to `at`, the start of the day on the machine's clock.
+
+        It is known only once all processes have started.
+        """
         self.faults = [msgspec.structs.replace(fault, at=fault.at + at) for fault in self.plan.faults]
         for fault in self.faults:
-            self.loop.call_at(fault.at / 1000.0, self._fault, fault)
+            self.loop.call_at(fault.at / 1000.0, self._start_fault, fault)
 
-    def _read_begin(self):
+    def _read_begin_time(self):
         self.loop.remove_reader(0)
         line = sys.stdin.readline().strip()
         if line:
@@ -175,198 +182,198 @@
 
     # Faults
 
-    def _on(self, kind: str) -> Fault | None:
+    def _active_fault(self, kind: str) -> Fault | None:
         now = now_ms()
         return next(
             (fault for fault in self.faults if fault.kind == kind and fault.at <= now < fault.at + fault.lasts), None
         )
 
-    def _fault(self, fault: Fault):
+    def _start_fault(self, fault: Fault):
         now = now_ms()
         if now >= fault.at + fault.lasts and fault.kind != "flush":
             return
         if fault.kind == "crawl":
             self.worker.crawl = fault.factor
-            self.loop.call_at((fault.at + fault.lasts) / 1000.0, self._uncrawl)
+            self.loop.call_at((fault.at + fault.lasts) / 1000.0, self._end_crawl)
         elif fault.kind == "pauses":
             self.worker.stand_still(now, fault.span)
-            self.loop.call_later(fault.every / 1000.0, self._fault, fault)
+            self.loop.call_later(fault.every / 1000.0, self._start_fault, fault)
         elif fault.kind == "flush":
-            part = fault.share * 2**32
-            self.worker.flush([model for model in self.worker.copies if zlib.crc32(model.encode()) < part])
+            hash_limit = fault.share * 2**32
+            self.worker.flush([model for model in self.worker.copies if zlib.crc32(model.encode()) < hash_limit])
         elif fault.kind == "go-away":
             for peer in list(self.listener.peers):
                 peer.link.go_away(why="a fault of the script")
                 peer.wire.flush_soon()
-            self.loop.call_later(fault.every / 1000.0, self._fault, fault)
+            self.loop.call_later(fault.every / 1000.0, self._start_fault, fault)
         elif fault.kind == "hang":
-            self.loop.call_at((fault.at + fault.lasts) / 1000.0, self._unhang)
-        self._after(now)
+            self.loop.call_at((fault.at + fault.lasts) / 1000.0, self._end_hang)
+        self._run_actions(now)
 
-    def _uncrawl(self):
+    def _end_crawl(self):
         self.worker.crawl = 1.0
 
-    def _unhang(self):
+    def _end_hang(self):
         withheld, self.withheld = self.withheld, []
-        for act in withheld:
-            self._finished(act)
+        for action in withheld:
+            self._finished(action)
 
     # Calls
 
     def _infer(self, call: ServerCall, data: bytes):
         try:
-            told = peek_request(data)
-        except MalformedRequest as problem:
-            self.bad_calls += 1
-            return call.finish(Status.INVALID_ARGUMENT, str(problem))
+            request = peek_request(data)
+        except MalformedRequest as error:
+            self.malformed_calls += 1
+            return call.finish(Status.INVALID_ARGUMENT, str(error))
         now = now_ms()
-        self.numbers += 1
-        work = told.parameters.get("work_ms", 80.0)
+        self.call_count += 1
+        work = request.parameters.get("work_ms", 80.0)
         work = float(work) if isinstance(work, (int, float)) else 80.0
-        results = told.parameters.get("results", 1)
-        held = _Held(
+        results = request.parameters.get("results", 1)
+        pending = _PendingCall(
             call,
-            self.numbers,
-            told.id,
-            told.model,
+            self.call_count,
+            request.id,
+            request.model,
             int(results) if call.path == names.MODEL_STREAM_INFER and isinstance(results, int) else 0,
-            float(told.parameters.get("gap_ms", 20.0)),
+            float(request.parameters.get("gap_ms", 20.0)),
         )
         self.note(
             seen.Came(
                 now,
                 self.name,
                 self.plan.boot,
-                held.n,
-                told.id,
+                pending.number,
+                request.id,
                 outcomes.read_controller(call.metadata),
                 work,
-                told.model,
+                request.model,
             )
         )
-        key = told.parameters.get("dedup_key", "")
-        job = Job(held, told.model, work, key if isinstance(key, str) else "")
-        self.held[job] = held
-        call.on_cancelled = lambda: self._gone(job)
-        refusing = self._on("refuse")
-        if refusing:
+        key = request.parameters.get("dedup_key", "")
+        job = Job(pending, request.model, work, key if isinstance(key, str) else "")
+        self.pending_calls[job] = pending
+        call.on_cancelled = lambda: self._cancelled(job)
+        refuse_fault = self._active_fault("refuse")
+        if refuse_fault:
             self.worker._weigh(now, work)
             return self._refused(Refused(job, "a fault of the script"))
         self.worker.arrive(now, job)
-        self._after(now)
+        self._run_actions(now)
 
-    def _gone(self, job: Job):
-        held = self.held.pop(job, None)
-        if held is not None and not held.over:
-            held.over = True
-            self.note(seen.Went(now_ms(), self.name, self.plan.boot, held.n, "cancelled"))
+    def _cancelled(self, job: Job):
+        pending = self.pending_calls.pop(job, None)
+        if pending is not None and not pending.closed:
+            pending.closed = True
+            self.note(seen.Went(now_ms(), self.name, self.plan.boot, pending.number, "cancelled"))
             self.worker.cancel(now_ms(), job)
-            self._after(now_ms())
+            self._run_actions(now_ms())
 
-    def _end(self, job: Job, how: str) -> _Held | None:
-        held = self.held.pop(job, None)
-        if held is None or held.over:
+    def _mark_ended(self, job: Job, how: str) -> _PendingCall | None:
+        pending = self.pending_calls.pop(job, None)
+        if pending is None or pending.closed:
             return None
-        held.over = True
-        self.note(seen.Went(now_ms(), self.name, self.plan.boot, held.n, how))
-        return held
+        pending.closed = True
+        self.note(seen.Went(now_ms(), self.name, self.plan.boot, pending.number, how))
+        return pending
 
     def _trailers(self, job: Job) -> Metadata:
         if not self.plan.tells:
             return {}
         running = len(self.worker.running) / max(1, self.plan.facts.cores)
         return {
-            **self._process(),
+            **self._process_metadata(),
             names.FOUND: job.found,
             names.SAME_MODEL: str(min(30, job.same_model)),
             names.REPORT: f"util={min(1.0, running):.3f},x1={len(self.worker.loading)}",
         }
 
-    def _process(self) -> Metadata:
+    def _process_metadata(self) -> Metadata:
         process = {names.BOOT: self.plan.boot, names.AGE: f"{now_ms() - self.worker.born:.0f}"}
         return {**process, names.DRAINING: "1"} if self.worker.draining else process
 
-    def _finished(self, act: Finished):
-        job = act.job
-        if self._on("hang"):
-            self.withheld.append(act)
+    def _finished(self, action: Finished):
+        job = action.job
+        if self._active_fault("hang"):
+            self.withheld.append(action)
             return
-        lost, half = self._on("answer-lost"), self._on("half-frame")
-        if lost and self.chance.random() < lost.share:
-            if held := self._end(job, "lost"):
-                held.call.wire.end("an answer lost", at_once=True)
+        lost_fault, half_fault = self._active_fault("answer-lost"), self._active_fault("half-frame")
+        if lost_fault and self.rng.random() < lost_fault.share:
+            if pending := self._mark_ended(job, "lost"):
+                pending.call.wire.end("an answer lost", at_once=True)
             return
-        if half and self.chance.random() < half.share:
-            if held := self._end(job, "lost"):
-                wire = held.call.wire
+        if half_fault and self.rng.random() < half_fault.share:
+            if pending := self._mark_ended(job, "lost"):
+                wire = pending.call.wire
                 if wire.transport is not None and not wire.lost:
-                    # A DATA frame of 64 bytes of which 7 are sent.
+                    # Sends 7 bytes of a DATA frame that announces 64.
                     wire._flush()
-                    wire.transport.write(b"\x00\x00\x40\x00\x00" + held.call.stream.to_bytes(4, "big") + b"\0" * 7)
+                    wire.transport.write(b"\x00\x00\x40\x00\x00" + pending.call.stream.to_bytes(4, "big") + b"\0" * 7)
                     wire.transport.close()
                     wire._report_lost("half a frame")
             return
-        held = self.held.get(job)
-        if held is None or held.over:
+        pending = self.pending_calls.get(job)
+        if pending is None or pending.closed:
             return
-        result = oip.ModelInferResponse(model_name=job.model, id=held.id)
+        result = oip.ModelInferResponse(model_name=job.model, id=pending.id)
         result.raw_output_contents.append(b"caption " * 16)
         data = result.SerializeToString()
-        if held.results:
-            self._stream(job, held, data, held.results)
+        if pending.results:
+            self._stream(job, pending, data, pending.results)
             return
-        self._end(job, "returned")
-        held.call.send(wrap_stream_result(data) if held.call.path == names.MODEL_STREAM_INFER else data)
-        held.call.finish(Status.OK, trailers=self._trailers(job))
+        self._mark_ended(job, "returned")
+        pending.call.send(wrap_stream_result(data) if pending.call.path == names.MODEL_STREAM_INFER else data)
+        pending.call.finish(Status.OK, trailers=self._trailers(job))
 
-    def _stream(self, job: Job, held: _Held, data: bytes, left: int):
-        if held.over:
+    def _stream(self, job: Job, pending: _PendingCall, data: bytes, remaining: int):
+        if pending.closed:
             return
-        held.call.send(wrap_stream_result(data))
-        if left > 1:
-            self.loop.call_later(held.gap / 1000.0, self._stream, job, held, data, left - 1)
-        elif self._end(job, "returned"):
-            held.call.finish(Status.OK, trailers=self._trailers(job))
+        pending.call.send(wrap_stream_result(data))
+        if remaining > 1:
+            self.loop.call_later(pending.gap_ms / 1000.0, self._stream, job, pending, data, remaining - 1)
+        elif self._mark_ended(job, "returned"):
+            pending.call.finish(Status.OK, trailers=self._trailers(job))
 
-    def _refused(self, act: Refused):
-        if held := self._end(act.job, "refused"):
-            held.call.finish(Status.RESOURCE_EXHAUSTED, act.why, self._trailers(act.job))
+    def _refused(self, action: Refused):
+        if pending := self._mark_ended(action.job, "refused"):
+            pending.call.finish(Status.RESOURCE_EXHAUSTED, action.why, self._trailers(action.job))
 
-    def _missed(self, act: Missed):
-        if held := self._end(act.job, "missed"):
-            trailers = {names.LOAD_FAILED: "1"} if act.load_failed and self.plan.tells else {}
-            held.call.finish(Status.NOT_FOUND, "the model is not loaded here", trailers)
+    def _missed(self, action: Missed):
+        if pending := self._mark_ended(action.job, "missed"):
+            trailers = {names.LOAD_FAILED: "1"} if action.load_failed and self.plan.tells else {}
+            pending.call.finish(Status.NOT_FOUND, "the model is not loaded here", trailers)
 
     def _order(self, call: ServerCall, data: bytes):
         try:
-            asked = oip.RepositoryModelLoadRequest.FromString(data)
+            request = oip.RepositoryModelLoadRequest.FromString(data)
         except Exception:
-            self.bad_calls += 1
+            self.malformed_calls += 1
             return call.finish(Status.INVALID_ARGUMENT, "no RepositoryModelLoadRequest")
-        copies = asked.parameters[names.COPIES].int64_param if names.COPIES in asked.parameters else 1
+        copies = request.parameters[names.COPIES].int64_param if names.COPIES in request.parameters else 1
         self.note(
             seen.Ordered(
-                now_ms(), self.name, self.plan.boot, outcomes.read_controller(call.metadata), asked.model_name, copies
+                now_ms(), self.name, self.plan.boot, outcomes.read_controller(call.metadata), request.model_name, copies
             )
         )
-        if self._on("hang"):
+        if self._active_fault("hang"):
             return
-        self.worker.order(now_ms(), Ask(call, asked.model_name, min(16, copies)))
-        self._after(now_ms())
+        self.worker.order(now_ms(), Ask(call, request.model_name, min(16, copies)))
+        self._run_actions(now_ms())
 
-    def _settled(self, act: Settled):
-        call = act.ask.tag
+    def _settled(self, action: Settled):
+        call = action.ask.tag
         assert isinstance(call, ServerCall)
-        trailers = {names.STANDING: str(act.standing)} if self.plan.tells else {}
-        if act.stands:
+        trailers = {names.STANDING: str(action.standing)} if self.plan.tells else {}
+        if action.stands:
             call.send(oip.RepositoryModelLoadResponse().SerializeToString())
             call.finish(Status.OK, trailers=trailers)
         else:
             call.finish(Status.RESOURCE_EXHAUSTED, "the copies will not stand", trailers)
 
     def _unload(self, call: ServerCall, data: bytes):
-        asked = oip.RepositoryModelUnloadRequest.FromString(data)
-        self.worker.unload(now_ms(), asked.model_name)
+        request = oip.RepositoryModelUnloadRequest.FromString(data)
+        self.worker.unload(now_ms(), request.model_name)
         call.send(oip.RepositoryModelUnloadResponse().SerializeToString())
         call.finish(Status.OK)
 
@@ -376,7 +383,7 @@
 
     def _ready(self, call: ServerCall, data: bytes):
         call.send(oip.ServerReadyResponse(ready=not self.worker.draining).SerializeToString())
-        call.finish(Status.OK, trailers=self._process() if self.plan.tells else {})
+        call.finish(Status.OK, trailers=self._process_metadata() if self.plan.tells else {})
 
     def _model_ready(self, call: ServerCall, data: bytes):
         name = oip.ModelReadyRequest.FromString(data).name
@@ -390,70 +397,70 @@
             self.loop.call_later(load.info.fetch / 1000.0, self._fetched, load, True)
             return
 
-        def heard(event: CallEvent):
+        def on_event(event: CallEvent):
             if isinstance(event, Message):
                 call.consumed(event.size)
             elif isinstance(event, FINAL_EVENTS):
                 self._fetched(load, isinstance(event, Answered) and event.status is Status.OK)
 
         request = platform.FetchRequest(model=load.model, invoker=self.name).SerializeToString()
-        call = self.library.call(names.LIBRARY_FETCH, {}, 30_000.0, request, heard)
+        call = self.library.call(names.LIBRARY_FETCH, {}, 30_000.0, request, on_event)
 
     def _fetched(self, load: Load, ok: bool):
         self.worker.fetched(now_ms(), load, ok)
-        self._after(now_ms())
+        self._run_actions(now_ms())
 
-    def _after(self, now: float):
-        """Carry out what the worker's last step left, and come back when something is due."""
+    def _run_actions(self, now: float):
+        """Run the actions that the worker queued in its last step and set the timer for its next due time."""
         while self.worker.acts:
-            acts, self.worker.acts = self.worker.acts, []
-            for act in acts:
-                self._act(act)
+            actions, self.worker.acts = self.worker.acts, []
+            for action in actions:
+                self._run_action(action)
         due = self.worker.next_due()
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
         if due < math.inf and not self.worker.fallen:
-            self.timer = self.loop.call_at(max(due, now) / 1000.0, self._due)
-        if self.worker.draining and self.worker.idle and not self.held:
+            self.timer = self.loop.call_at(max(due, now) / 1000.0, self._timer_due)
+        if self.worker.draining and self.worker.idle and not self.pending_calls:
             self.ended.set()
 
-    def _act(self, act: Any):
-        if isinstance(act, Finished):
-            self._finished(act)
-        elif isinstance(act, Refused):
-            self._refused(act)
-        elif isinstance(act, Missed):
-            self._missed(act)
-        elif isinstance(act, FetchWanted):
+    def _run_action(self, action: Any):
+        if isinstance(action, Finished):
+            self._finished(action)
+        elif isinstance(action, Refused):
+            self._refused(action)
+        elif isinstance(action, Missed):
+            self._missed(action)
+        elif isinstance(action, FetchWanted):
             self.note(seen.Count(now_ms(), "loads", 1))
-            self._fetch(act.load)
-        elif isinstance(act, Settled):
-            self._settled(act)
-        elif isinstance(act, Fell):
-            self.note(seen.PushedOver(now_ms(), self.name, self.plan.boot, act.sent, act.allowed))
+            self._fetch(action.load)
+        elif isinstance(action, Settled):
+            self._settled(action)
+        elif isinstance(action, Fell):
+            self.note(seen.PushedOver(now_ms(), self.name, self.plan.boot, action.sent, action.allowed))
             self.listener.close()
 
-    def _due(self):
+    def _timer_due(self):
         self.timer = None
         now = now_ms()
         self.worker.look(now)
-        self._after(now)
+        self._run_actions(now)
 
-    # The end
+    # Shutdown
 
     def drain(self) -> None:
         if not self.worker.draining:
             self.worker.draining = True
             self.listener.go_away()
             self.loop.call_later(self.plan.drain_within / 1000.0, self.ended.set)
-            self._after(now_ms())
+            self._run_actions(now_ms())
 
     async def run(self) -> None:
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self.drain)
         if self.plan.faults:
-            self.loop.add_reader(0, self._read_begin)
+            self.loop.add_reader(0, self._read_begin_time)
         await self.ended.wait()
         await self.listener.drain(300.0)
         tally = self.worker.tally
@@ -475,8 +482,8 @@
     standin = StandIn(plan)
     try:
         await standin.start()
-    except OSError as problem:
-        print(f"{plan.listen}: can't listen: {problem.strerror or problem}", file=sys.stderr)
+    except OSError as error:
+        print(f"{plan.listen}: can't listen: {error.strerror or error}", file=sys.stderr)
         return 2
     print(f"listening on {standin.where}", flush=True)
     await standin.run()
