--- a/sprucespool/standin/processes.py
+++ b/sprucespool/standin/processes.py
@@ -45,7 +45,7 @@
         except TimeoutError:
             line = ""
         if not line:
-            raise StageFailed(f"did not start; its last words: {self.last_log_line()}")
+            raise StageFailed(f"did not start; last log line: {self.last_log_line()}")
         return line
 
     def begin(self, at: float) -> None:
--- a/sprucespool/standin/stage.py
+++ b/sprucespool/standin/stage.py
@@ -1,4 +1,5 @@
-"""Plays a day: starts roster, library, invokers, controllers and clients, does what the script says, asks the judge."""
+"""Plays a day: starts roster, library, invokers, controllers and clients, runs the steps of the script and has the
+result judged."""
 
 from __future__ import annotations
 
@@ -56,7 +57,7 @@
 
 
 @dataclass(slots=True)
-class _Standing:
+class _RunningInvoker:
     slot: Slot
     process: Process
     listed: Listed
@@ -65,7 +66,7 @@
 
 @dataclass(slots=True)
 class Options:
-    """How a day is played; the rest is in its script."""
+    """Options of a run that are not part of the day's script."""
 
     decider: str = "hiku"
     folder: Path | None = None
@@ -75,7 +76,7 @@
 
 
 class Stage:
-    """All processes of one day, from their start to their end."""
+    """Starts, controls and stops all processes of one day."""
 
     def __init__(self, day: Day, options: Options, folder: Path):
         self.day, self.options, self.folder = day, options, folder
@@ -90,20 +91,20 @@
         self.listener = Listener({**self.roster.methods(), **self.library.methods()}, Limits(), Server())
         self.platform = ""
         self.begin = self.watched_until = 0.0
-        self.faulted: tuple[list[list[str]], list[str], bool] = ([], [], False)
-        self.boots = 0
-        self.standing: dict[int, _Standing] = {}
+        self.noted_faults: tuple[list[list[str]], list[str], bool] = ([], [], False)
+        self.boot_count = 0
+        self.running_invokers: dict[int, _RunningInvoker] = {}
         self.controllers: dict[int, Process] = {}
         self.addresses: list[str] = []
         self.unclean: list[str] = []
-        self.joined: list[tuple[int, float]] = []
+        self.controller_starts: list[tuple[int, float]] = []
         self.tasks: set[asyncio.Task] = set()
-        self.all: list[Process] = []
+        self.all_processes: list[Process] = []
         self.killed: set[Process] = set()
         self.bad_links = BadLinks()
         self.starving = Starving(self.notes)
         self.starving.add("stage", os.getpid())
-        # Only where the day has a group: what stands between processes, and the watch on their views.
+        # Only if the day has a group: the relays between processes, and the watch that reads the controllers' views.
         self.relays = Relays(day.seed) if day.group else None
         self.watch = Watch() if day.group else None
         if self.watch is not None and day.group is not None and day.group.view:
@@ -123,15 +124,15 @@
 
     # Invokers
 
-    async def _start_invoker(self, slot: Slot, listen: str, cold: bool) -> _Standing:
-        self.boots += 1
-        boot, day = f"{slot.number}-{self.boots}", self.day
+    async def _start_invoker(self, slot: Slot, listen: str, cold: bool) -> _RunningInvoker:
+        self.boot_count += 1
+        boot, day = f"{slot.number}-{self.boot_count}", self.day
         habits, facts = day.invokers, worker_facts(day, slot.machines)
         notes = self.folder / f"invoker-{boot}.jsonl"
-        relay, old = None, self.standing.get(slot.number)
+        relay, old = None, self.running_invokers.get(slot.number)
         if self.relays is not None:
-            # Anew in place: behind the relay that the one before it had.
-            place = next((name for name, one in self.relays.relays.items() if one.address == listen), None)
+            # A process that replaces another at the same address takes over its relay.
+            place = next((name for name, known in self.relays.relays.items() if known.address == listen), None)
             name = place or (f"i{slot.number}" if old is None else f"i{slot.number}+{boot}")
             self.relays.links.alias[name] = f"i{slot.number}"
             relay = await self.relays.relay_for(name)
@@ -148,7 +149,7 @@
             habits.tells,
             slot.zone,
             slot.cell,
-            day.seed * 100 + self.boots,
+            day.seed * 100 + self.boot_count,
             10_000.0,
             self.plan.faults[slot.number],
             relay.address if relay else None,
@@ -159,17 +160,17 @@
         process = Process(
             [sys.executable, "-m", "sprucespool.standin.invoker", str(path)], self.folder / f"invoker-{boot}.log"
         )
-        self.all.append(process)
+        self.all_processes.append(process)
         line = await process.started()
         self.starving.add(boot, process.popen.pid)
         if self.begin:
             process.begin(self.begin)
-        where = line.removeprefix("listening on ")
+        address = line.removeprefix("listening on ")
         if relay is not None:
-            await relay.set_target(where)
-            where = relay.address
+            await relay.set_target(address)
+            address = relay.address
         listed = Listed(
-            where,
+            address,
             slot.zone,
             slot.machines.kind,
             slot.cell,
@@ -177,57 +178,59 @@
             boot,
             now_ms() if cold else now_ms() - 3.6e6,
         )
-        return _Standing(slot, process, listed, notes)
+        return _RunningInvoker(slot, process, listed, notes)
 
-    async def _join(self, number: int, listen: str = "127.0.0.1:0"):
-        standing = await self._start_invoker(self.plan.slots[number], listen, True)
-        self.standing[number] = standing
-        self.roster.change(standing.listed)
+    async def _start_new(self, number: int, listen: str = "127.0.0.1:0"):
+        invoker = await self._start_invoker(self.plan.slots[number], listen, True)
+        self.running_invokers[number] = invoker
+        self.roster.change(invoker.listed)
 
     async def _replace(self, number: int, span: float):
-        """A rolling deploy: the successor starts while the predecessor ends what it has."""
-        old = self.standing[number]
-        self._leave(old, DRAINING)
+        """One replacement of a rolling deploy: the successor starts while the predecessor drains."""
+        old = self.running_invokers[number]
+        self._publish_status(old, DRAINING)
         await asyncio.sleep(0.2)
         old.process.signal(signal.SIGTERM)
-        await self._join(number)
+        await self._start_new(number)
         if await old.process.ended(15.0) is None:
-            self.unclean.append(f"invoker {old.listed.boot} did not end its drain")
-        self._leave(old, GONE)
+            self.unclean.append(f"invoker {old.listed.boot} did not finish draining")
+        self._publish_status(old, GONE)
 
     async def _renew(self, number: int):
-        """It drains, ends, and another process stands at its address."""
-        old = self.standing[number]
-        self._leave(old, DRAINING)
+        """Drain and stop the process, then start another at the same address."""
+        old = self.running_invokers[number]
+        self._publish_status(old, DRAINING)
         await asyncio.sleep(0.2)
         old.process.signal(signal.SIGTERM)
         if await old.process.ended(15.0) is None:
-            self.unclean.append(f"invoker {old.listed.boot} did not end its drain")
-        await self._join(number, old.listed.address)
+            self.unclean.append(f"invoker {old.listed.boot} did not finish draining")
+        await self._start_new(number, old.listed.address)
 
-    def _leave(self, standing: _Standing, status: int):
-        one = standing.listed
-        self.roster.change(Listed(one.address, one.zone, one.kind, one.cell, one.size, one.boot, one.born, status))
+    def _publish_status(self, invoker: _RunningInvoker, status: int):
+        listed = invoker.listed
+        self.roster.change(
+            Listed(listed.address, listed.zone, listed.kind, listed.cell, listed.size, listed.boot, listed.born, status)
+        )
 
     def _kill(self, number: int):
-        standing = self.standing[number]
-        self.killed.add(standing.process)
-        standing.process.signal(signal.SIGKILL)
+        invoker = self.running_invokers[number]
+        self.killed.add(invoker.process)
+        invoker.process.signal(signal.SIGKILL)
         for relay in self.relays.relays.values() if self.relays else ():
-            if relay.address == standing.listed.address:
+            if relay.address == invoker.listed.address:
                 relay.stop_listening()
-        self.notes.write(seen.Died(now_ms(), standing.listed.address, standing.listed.boot))
+        self.notes.write(seen.Died(now_ms(), invoker.listed.address, invoker.listed.boot))
 
     # Controllers
 
     def _controller_plan(self, number: int, listen: str) -> ControllerPlan:
         day = self.day
-        others = [where for other, where in enumerate(self.addresses) if other != number]
+        others = [address for other, address in enumerate(self.addresses) if other != number]
         learning = (
             None
             if day.told == "none"
             else Learning(
-                sources=[Source(where) for where in (others[:1] if day.told == "one" else others)]
+                sources=[Source(address) for address in (others[:1] if day.told == "one" else others)]
                 if day.told != "snapshot"
                 else [],
                 snapshot=str(self.folder / f"controller-{number}.snap") if day.told == "snapshot" else None,
@@ -238,7 +241,7 @@
         failover = None
         if day.failover is not None:
             failover = FailoverPlan(
-                [ZonePlace(one, day.region_of(one) or one) for one in day.zones],
+                [ZonePlace(name, day.region_of(name) or name) for name in day.zones],
                 [Voter(name) for name in day.failover.voters.split(",")],
                 keep=str(self.folder / f"ballot-{number}"),
                 replace_after=day.failover.replace_after,
@@ -286,19 +289,19 @@
         if build != "hiku":
             command += ["--decider", build]
         process = self.controllers[number] = Process(command, self.folder / f"controller-{number}.err")
-        self.all.append(process)
-        where = (await process.started()).removeprefix("listening on ")
+        self.all_processes.append(process)
+        address = (await process.started()).removeprefix("listening on ")
         self.starving.add(f"c{number}", process.popen.pid)
         if self.relays is not None and self.watch is not None:
-            await self.relays.relays[f"c{number}"].set_target(where)
+            await self.relays.relays[f"c{number}"].set_target(address)
             self.watch.note(group_seen.Began(now_ms(), f"c{number}"))
-            self.watch.add(f"c{number}", where)
+            self.watch.add(f"c{number}", address)
         if self.begin:
-            self.joined.append((number, now_ms()))
-        return where
+            self.controller_starts.append((number, now_ms()))
+        return address
 
     def _build(self, number: int) -> str:
-        """What the controller is started as."""
+        """The decider (build) that the controller is started with."""
         day = self.day
         if day.group is not None and number == day.group.liar:
             return "fleet-liar"
@@ -307,27 +310,30 @@
         jumps = any(step.what == "clock-jump" and step.target == number for step in self.plan.steps)
         return "clock-jumps" if jumps else self.options.decider
 
-    async def _drain(self, zone: str, away: bool):
-        """The operators' command, asked of one that is there; again while nobody leads or the figures say no."""
-        end, why = self.loop.time() + 15.0, ""
+    async def _drain(self, zone: str, drain: bool):
+        """Run the operators' drain or undrain command at a running controller.
+
+        Retried for 15 s, because it is refused while there is no leader or while the load does not allow it.
+        """
+        end, reply = self.loop.time() + 15.0, ""
         while self.loop.time() < end:
-            there = [n for n, process in self.controllers.items() if process.popen.poll() is None]
+            running = [n for n, process in self.controllers.items() if process.popen.poll() is None]
             command = [
                 sys.executable,
                 "-m",
                 "sprucespool.cli.main",
-                "drain-zone" if away else "undrain-zone",
+                "drain-zone" if drain else "undrain-zone",
                 zone,
                 "--at",
-                self.addresses[there[-1]],
+                self.addresses[running[-1]],
             ]
             child = await asyncio.create_subprocess_exec(*command, stdout=asyncio.subprocess.PIPE)
-            told, _ = await child.communicate()
-            why = told.decode(errors="replace").strip()
+            output, _ = await child.communicate()
+            reply = output.decode(errors="replace").strip()
             if child.returncode == 0:
                 return
             await asyncio.sleep(0.5)
-        self.unclean.append(f"{'drain' if away else 'undrain'} of {zone}: {why}")
+        self.unclean.append(f"{'drain' if drain else 'undrain'} of {zone}: {reply}")
 
     async def _stall(self, number: int, span: float):
         process = self.controllers[number]
@@ -335,30 +341,30 @@
         process.signal(signal.SIGSTOP)
         if self.watch is not None:
             self.watch.quiet.add(f"c{number}")
-        self._faulted()
+        self._note_faults()
         await asyncio.sleep(span / 1000.0)
         process.signal(signal.SIGCONT)
         if self.watch is not None:
             self.watch.quiet.discard(f"c{number}")
-        self._faulted()
+        self._note_faults()
         self.notes.write(seen.Stalled(at, number, now_ms()))
 
     # The day
 
-    def _do(self, step: Step):
+    def _run_step(self, step: Step):
         if step.what == "replace":
             self._task(self._replace(step.target, step.span))
         elif step.what == "renew":
             self._task(self._renew(step.target))
         elif step.what == "listed-draining":
-            self._leave(self.standing[step.target], DRAINING)
+            self._publish_status(self.running_invokers[step.target], DRAINING)
         elif step.what == "kill":
             self._kill(step.target)
-            self._task(self._noticed(self.standing[step.target]))
+            self._task(self._report_dead(self.running_invokers[step.target]))
         elif step.what == "restart":
-            self._task(self._join(step.target, self.standing[step.target].listed.address))
+            self._task(self._start_new(step.target, self.running_invokers[step.target].listed.address))
         elif step.what == "start-new":
-            self._task(self._join(step.target))
+            self._task(self._start_new(step.target))
         elif step.what == "roster-lag":
             self.roster.extra = step.value
         elif step.what == "roster-old":
@@ -411,23 +417,23 @@
         self.relays.changed()
         for link in self._links_changed():
             self.notes.write(link)
-        self._faulted()
+        self._note_faults()
 
-    def _faulted(self):
-        """What of it concerns the group, for its judge."""
+    def _note_faults(self):
+        """Note the current faults among the controllers, if they changed, for the judge of the group."""
         if self.relays is None or self.watch is None:
             return
         sides, uneven = partition_sides(self.relays.links, (f"c{n}" for n in range(self.day.controllers)))
         state = sides, sorted(self.watch.quiet), uneven
-        if state != self.faulted:
-            self.faulted = state
+        if state != self.noted_faults:
+            self.noted_faults = state
             self.watch.note(group_seen.Faulted(now_ms(), *state))
 
-    async def _noticed(self, standing: _Standing):
-        """The roster finds a dead process gone after a moment, if nothing new stands there by then."""
+    async def _report_dead(self, invoker: _RunningInvoker):
+        """The roster removes a dead process after 0.5 s, unless another has taken its slot by then."""
         await asyncio.sleep(0.5)
-        if self.standing[standing.slot.number] is standing:
-            self._leave(standing, GONE)
+        if self.running_invokers[invoker.slot.number] is invoker:
+            self._publish_status(invoker, GONE)
 
     def _task(self, work: Any):
         task = self.loop.create_task(work)
@@ -440,7 +446,7 @@
             self.unclean.append(f"the stage: {type(task.exception()).__name__}: {task.exception()}")
 
     async def play(self) -> Result:
-        day, say = self.day, self.options.progress
+        day, progress = self.day, self.options.progress
         try:
             port = await self.listener.start("127.0.0.1", 0)
             self.platform = f"127.0.0.1:{port}"
@@ -448,10 +454,12 @@
                 await (await self.relays.relay_for("roster")).set_target(self.platform)
                 for number in range(day.controllers):
                     await self.relays.relay_for(f"c{number}")
-            found = await asyncio.gather(*(self._start_invoker(slot, "127.0.0.1:0", False) for slot in self.plan.slots))
-            for standing in found:
-                self.standing[standing.slot.number] = standing
-                self.roster.change(standing.listed, at_once=True)
+            started = await asyncio.gather(
+                *(self._start_invoker(slot, "127.0.0.1:0", False) for slot in self.plan.slots)
+            )
+            for invoker in started:
+                self.running_invokers[invoker.slot.number] = invoker
+                self.roster.change(invoker.listed, at_once=True)
             await asyncio.sleep(0.05)
             self.addresses = list(
                 await asyncio.gather(
@@ -463,25 +471,25 @@
                 self.watch.start()
             self.starving.check()
             clients = await self._start_clients()
-            for standing in found:
-                standing.process.begin(self.begin)
-            say(
-                f"{day.name}: {len(found)} invokers, {day.controllers} controllers, seed {day.seed}; troubles: "
+            for invoker in started:
+                invoker.process.begin(self.begin)
+            progress(
+                f"{day.name}: {len(started)} invokers, {day.controllers} controllers, seed {day.seed}; troubles: "
                 + (", ".join(f"{t.kind} at {t.at / 1000:.0f} s" for t in day.troubles) or "none")
             )
             for step in self.plan.steps:
-                await self._until(self.begin + step.at)
-                self._do(step)
-            await self._until(self.begin + day.lasts)
+                await self._sleep_until(self.begin + step.at)
+                self._run_step(step)
+            await self._sleep_until(self.begin + day.lasts)
             if await clients.ended(45.0) != 0:
-                self.unclean.append(f"the clients did not end: {clients.last_log_line()}")
+                self.unclean.append(f"the clients did not exit: {clients.last_log_line()}")
             while self.tasks:
                 await asyncio.wait(self.tasks, timeout=20.0)
             for link in self.bad_links.close_all(now_ms()):
                 self.notes.write(link)
-            verdict = self._group_verdict()
-            await self._end_all()
-            return self._result(verdict)
+            group_verdict = self._group_verdict()
+            await self._stop_all()
+            return self._result(group_verdict)
         finally:
             self.starving.stop()
             if self.watch is not None:
@@ -490,13 +498,13 @@
                 await self.relays.close()
             for task in self.tasks:
                 task.cancel()
-            for process in self.all:
+            for process in self.all_processes:
                 process.end()
             self.listener.close()
             self.notes.close()
 
     async def _start_clients(self) -> Process:
-        """They are told when the day begins before they run: on a loaded machine that must be later."""
+        """Start the clients. They get the start time of the day before they run, so a loaded machine needs more margin."""
         for margin in (1_500.0, 5_000.0, 15_000.0):
             begin = now_ms() + margin
             plan = ClientsPlan(self.day, begin, self.addresses, str(self.folder / "clients.jsonl"))
@@ -505,7 +513,7 @@
                 [sys.executable, "-m", "sprucespool.standin.clients", str(self.folder / "clients.json")],
                 self.folder / "clients.log",
             )
-            self.all.append(clients)
+            self.all_processes.append(clients)
             await clients.started()
             self.starving.add("clients", clients.popen.pid)
             if now_ms() < begin:
@@ -514,29 +522,29 @@
             clients.end()
         raise StageFailed("the clients took too long to start")
 
-    async def _until(self, at: float):
-        say, last = self.options.progress, 0.0
-        while (left := at - now_ms()) > 0:
-            gone = now_ms() - self.begin
-            if gone - last > 5_000.0:
-                last = gone
-                say(f"{self.day.name}: {max(0.0, gone) / 1000:.0f} s of {self.day.lasts / 1000:.0f}")
-            await asyncio.sleep(min(left, 1000.0) / 1000.0)
+    async def _sleep_until(self, at: float):
+        progress, last_reported = self.options.progress, 0.0
+        while (remaining := at - now_ms()) > 0:
+            elapsed = now_ms() - self.begin
+            if elapsed - last_reported > 5_000.0:
+                last_reported = elapsed
+                progress(f"{self.day.name}: {max(0.0, elapsed) / 1000:.0f} s of {self.day.lasts / 1000:.0f}")
+            await asyncio.sleep(min(remaining, 1000.0) / 1000.0)
 
-    async def _end_all(self):
+    async def _stop_all(self):
         for process in self.controllers.values():
             process.signal(signal.SIGTERM)
         for number, process in self.controllers.items():
             code = await process.ended(8.0)
             if code != 0 and process not in self.killed:
                 self.unclean.append(f"controller {number} ended with {code}: {process.last_log_line()}")
-        for standing in self.standing.values():
-            standing.process.signal(signal.SIGTERM)
-        for standing in self.standing.values():
-            code = await standing.process.ended(12.0)
-            if code != 0 and standing.process not in self.killed:
+        for invoker in self.running_invokers.values():
+            invoker.process.signal(signal.SIGTERM)
+        for invoker in self.running_invokers.values():
+            code = await invoker.process.ended(12.0)
+            if code != 0 and invoker.process not in self.killed:
                 self.unclean.append(
-                    f"invoker {standing.listed.boot} ended with {code}: {standing.process.last_log_line()}"
+                    f"invoker {invoker.listed.boot} ended with {code}: {invoker.process.last_log_line()}"
                 )
 
     def _group_verdict(self) -> group_seen.Verdict | None:
@@ -545,18 +553,18 @@
         self.watch.stop()
         self.watched_until = now_ms()
         (self.folder / "views.json").write_bytes(msgspec.json.encode(self.watch.noted))
-        told = self.day.group
+        group = self.day.group
         return group_seen.check(
-            self.watch.noted, group_seen.Bounds(told.alike_within, told.cleared_within, told.dead_within), now_ms()
+            self.watch.noted, group_seen.Bounds(group.alike_within, group.cleared_within, group.dead_within), now_ms()
         )
 
     def _result(self, verdict: group_seen.Verdict | None) -> Result:
-        found: list[seen.Seen] = []
+        notes: list[seen.Seen] = []
         for path in sorted(self.folder.glob("*.jsonl")):
             with open(path, "rb") as lines:
-                found += seen.read(lines)
+                notes += seen.read(lines)
         day, watch = self.day, self.watch
-        table = score(found, {g.name: GroupValue(g.slo_time, g.value, g.late_value) for g in day.model_groups})
+        table = score(notes, {g.name: GroupValue(g.slo_time, g.value, g.late_value) for g in day.model_groups})
         stops = [
             msgspec.json.decode(process.remaining_output.removeprefix("stopped "))
             for process in self.controllers.values()
@@ -567,19 +575,19 @@
             day.seed,
             self.options.decider,
             table,
-            judge(found, facts(day)),
+            judge(notes, facts(day)),
             self.unclean,
             stops,
-            [first_seconds(day, found, number, at) for number, at in self.joined],
+            [first_seconds(day, notes, number, at) for number, at in self.controller_starts],
             verdict.broken if verdict else [],
             verdict.settled if verdict else None,
-            fleet_verdict(day, watch, self.watched_until, found) if watch else None,
-            failover_verdict(day, watch, self.begin, self.watched_until, found) if watch else None,
+            fleet_verdict(day, watch, self.watched_until, notes) if watch else None,
+            failover_verdict(day, watch, self.begin, self.watched_until, notes) if watch else None,
         )
 
 
 def play(day: Day, options: Options) -> Result:
-    """Play a day in processes of its own; from the main thread, where signals end it in order. Raises StageFailed."""
+    """Play a day in separate processes. In the main thread, SIGTERM and SIGHUP end it with cleanup. Raises StageFailed."""
     if options.folder is not None:
         options.folder.mkdir(parents=True, exist_ok=True)
         return asyncio.run(_play(day, options, options.folder))
@@ -588,18 +596,18 @@
 
 
 async def _play(day: Day, options: Options, folder: Path) -> Result:
-    # Against processes left behind by a stage that is told to end: its own clearing up must run.
+    # SIGTERM and SIGHUP cancel the task, so that its cleanup runs and no child process is left behind.
     loop, task = asyncio.get_running_loop(), asyncio.current_task()
     assert task is not None
-    # Elsewhere than in the main thread nobody can hear signals.
-    here = threading.current_thread() is threading.main_thread()
-    told = (signal.SIGTERM, signal.SIGHUP) if here else ()
-    for number in told:
+    # Signal handlers can be set only in the main thread.
+    in_main_thread = threading.current_thread() is threading.main_thread()
+    signals = (signal.SIGTERM, signal.SIGHUP) if in_main_thread else ()
+    for number in signals:
         loop.add_signal_handler(number, task.cancel)
     try:
         return await Stage(day, options, folder).play()
     except asyncio.CancelledError:
         raise StageFailed("told to end") from None
     finally:
-        for number in told:
+        for number in signals:
             loop.remove_signal_handler(number)
