--- a/sprucespool/standin/schedule.py
+++ b/sprucespool/standin/schedule.py
@@ -1,4 +1,4 @@
-"""What a day's troubles mean for which process and when, drawn from the seed. No I/O, no clock."""
+"""What a day's troubles mean for which process and next_at, drawn from the seed. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True)
 class Slot:
-    """A place in the fleet: whatever process stands there."""
+    """A place in the fleet that one invoker process after another occupies."""
 
     number: int
     machines: Machines
@@ -24,7 +24,7 @@
 
 
 def worker_facts(day: Day, machines: Machines) -> WorkerFacts:
-    """What an invoker of that kind is made of on the day."""
+    """The properties of an invoker on machines of that kind."""
     fleet, habits = day.fleet, day.invokers
     return WorkerFacts(
         machines.memory / 1e6,
@@ -47,14 +47,14 @@
 
 @dataclass(slots=True)
 class Step:
-    """At `at` ms after the day's begin the stage does `what` to the slot or controller `target`."""
+    """An action `what` of the stage on the slot or controller `target`, `at` ms after the start of the day."""
 
     at: float
     what: str
     target: int = -1
     span: float = 0.0
     value: float = 0.0
-    # Of a fault of links: its name, the sides it parts, and what holds between them.
+    # For faults of links: the name, the sides that are affected, and the state of the links between them.
     name: str = ""
     sides: tuple[frozenset[str], ...] = ()
     state: LinkState = HEALTHY
@@ -64,48 +64,48 @@
 @dataclass(slots=True)
 class Schedule:
     slots: list[Slot]
-    # By slot: faults that any process standing there then has; times after the day's begin.
+    # By slot: the faults of any process that occupies it at that time; times are ms after the start of the day.
     faults: dict[int, list[Fault]] = field(default_factory=dict)
     steps: list[Step] = field(default_factory=list)
 
 
 def schedule(day: Day) -> Schedule:
-    chance = random.Random(day.seed * 13 + 3)
+    rng = random.Random(day.seed * 13 + 3)
     slots: list[Slot] = []
     for machines in day.machines:
         for _ in range(machines.count):
             number = len(slots)
             zone = day.zones[number % len(day.zones)]
             slots.append(Slot(number, machines, zone, day.cell_of(number)))
-    found = Schedule(slots, {slot.number: [] for slot in slots})
+    plan = Schedule(slots, {slot.number: [] for slot in slots})
     for trouble in day.troubles:
-        _expand(found, trouble, day, chance)
-    found.steps.sort(key=lambda step: step.at)
-    return found
+        _expand(plan, trouble, day, rng)
+    plan.steps.sort(key=lambda step: step.at)
+    return plan
 
 
-def _some(slots: list[Slot], share: float, chance: random.Random) -> list[Slot]:
-    return chance.sample(slots, max(1, round(share * len(slots))))
+def _sample(slots: list[Slot], share: float, rng: random.Random) -> list[Slot]:
+    return rng.sample(slots, max(1, round(share * len(slots))))
 
 
-def _near(found: Schedule, trouble: Trouble, day: Day) -> list[Slot]:
-    """Those of the zone, region, cell or invoker that the trouble names; all of them, if it names none."""
+def _slots_named(plan: Schedule, trouble: Trouble, day: Day) -> list[Slot]:
+    """The slots in the zone, region, cell or invoker that the trouble names; all slots if it names none."""
     names = day.processes_named(trouble.what) if trouble.what else None
-    return [slot for slot in found.slots if names is None or f"i{slot.number}" in names]
+    return [slot for slot in plan.slots if names is None or f"i{slot.number}" in names]
 
 
 def _link(trouble: Trouble, day: Day, name: str) -> list[Step]:
-    def named(names: str) -> frozenset[str]:
+    def processes(names: str) -> frozenset[str]:
         return frozenset().union(*(day.processes_named(one) for one in names.split(",")))
 
     if trouble.and_:
-        sides: tuple[frozenset[str], ...] = (named(trouble.between), named(trouble.and_))
+        sides: tuple[frozenset[str], ...] = (processes(trouble.between), processes(trouble.and_))
     elif "," in trouble.between:
         sides = tuple(frozenset(day.processes_named(one)) for one in trouble.between.split(","))
     else:
-        alone = named(trouble.between)
-        every = frozenset().union(*(day.processes_named(zone) for zone in day.zones)) | {"roster"}
-        sides = (alone, every - alone)
+        side = processes(trouble.between)
+        everything = frozenset().union(*(day.processes_named(zone) for zone in day.zones)) | {"roster"}
+        sides = (side, everything - side)
     state = {
         "partition": LinkState(cut=trouble.how),
         "link-slow": LinkState(delay=trouble.span, jitter=trouble.span / 2),
@@ -114,20 +114,20 @@
     if trouble.way == "back":
         sides = sides[::-1]
     begins = Step(trouble.at, "link", name=name, sides=sides, state=state, both=trouble.way == "both")
-    # What lasts for no time lasts to the end.
+    # A duration of 0 means until the end of the day.
     return [begins] + [Step(trouble.at + trouble.lasts, "heal", name=name)] * (trouble.lasts > 0)
 
 
-def _expand(found: Schedule, trouble: Trouble, day: Day, chance: random.Random):
-    kind, at, lasts, steps = trouble.kind, trouble.at, trouble.lasts, found.steps
+def _expand(plan: Schedule, trouble: Trouble, day: Day, rng: random.Random):
+    kind, at, lasts, steps = trouble.kind, trouble.at, trouble.lasts, plan.steps
     if kind in AT_INVOKER:
-        everywhere = kind in ("flush", "answer-lost", "half-frame")
-        near = _near(found, trouble, day)
-        chosen = near if everywhere else _some(near, trouble.share, chance)
+        at_all_slots = kind in ("flush", "answer-lost", "half-frame")
+        candidates = _slots_named(plan, trouble, day)
+        chosen = candidates if at_all_slots else _sample(candidates, trouble.share, rng)
         for slot in chosen:
-            # Those that stand still together do so because of something shared, but not to the millisecond.
-            shift = chance.uniform(0, trouble.every) if kind in ("pauses", "go-away") else 0.0
-            found.faults[slot.number].append(
+            # Invokers that pause together share a cause, but do not start at the same millisecond.
+            shift = rng.uniform(0, trouble.every) if kind in ("pauses", "go-away") else 0.0
+            plan.faults[slot.number].append(
                 Fault(
                     kind,
                     at + min(shift, lasts / 2),
@@ -139,24 +139,24 @@
                 )
             )
     elif kind in ("deploy", "renew"):
-        chosen = _some(_near(found, trouble, day), trouble.share, chance)
+        chosen = _sample(_slots_named(plan, trouble, day), trouble.share, rng)
         batches = [chosen[n : n + trouble.batch] for n in range(0, len(chosen), trouble.batch)]
         for n, batch in enumerate(batches):
             for slot in batch:
-                act = "replace" if kind == "deploy" else "renew"
-                steps.append(Step(at + lasts * n / len(batches), act, slot.number, trouble.span))
+                action = "replace" if kind == "deploy" else "renew"
+                steps.append(Step(at + lasts * n / len(batches), action, slot.number, trouble.span))
     elif kind == "preempt":
-        for slot in _some(found.slots, trouble.share, chance):
-            begin = at + chance.uniform(0, lasts / 2)
-            # The machine's owner tells the roster, nobody the process: it serves on until it is killed.
+        for slot in _sample(plan.slots, trouble.share, rng):
+            begin = at + rng.uniform(0, lasts / 2)
+            # The machine's owner notifies the roster but not the process, which serves until it is killed.
             steps.append(Step(begin, "listed-draining", slot.number))
             steps.append(Step(begin + trouble.span, "kill", slot.number))
             steps.append(Step(begin + trouble.span + trouble.every, "start-new", slot.number))
     elif kind in ("crash", "mass-restart"):
         chosen = (
-            _some(found.slots, trouble.share, chance)
+            _sample(plan.slots, trouble.share, rng)
             if kind == "crash"
-            else [slot for slot in found.slots if slot.machines.kind == trouble.what]
+            else [slot for slot in plan.slots if slot.machines.kind == trouble.what]
         )
         for slot in chosen:
             steps.append(Step(at, "kill", slot.number))
@@ -172,10 +172,10 @@
     elif kind == "library-down":
         steps += [Step(at, "library-down"), Step(at + lasts, "library-up")]
     elif kind == "stall":
-        target, when = chance.randrange(day.controllers), at
-        while when < at + lasts:
-            steps.append(Step(when, "stall", target, trouble.span))
-            when += trouble.every
+        target, next_at = rng.randrange(day.controllers), at
+        while next_at < at + lasts:
+            steps.append(Step(next_at, "stall", target, trouble.span))
+            next_at += trouble.every
     elif kind in AT_LINKS:
         steps += _link(trouble, day, f"{kind} {len(steps)}")
     elif kind in ("zone-lost", "invokers-lost"):
@@ -186,7 +186,7 @@
             what = ("kill", "restart") if name[0] == "i" else ("controller-kill", "controller-start")
             steps += [Step(at, what[0], number), Step(at + lasts, what[1], number)]
     elif kind == "controller-kill":
-        names = sorted(day.processes_named(trouble.what)) if trouble.what else [f"c{chance.randrange(day.controllers)}"]
+        names = sorted(day.processes_named(trouble.what)) if trouble.what else [f"c{rng.randrange(day.controllers)}"]
         steps += [Step(at, "controller-kill", int(name[1:])) for name in names if name[0] == "c"]
     elif kind == "controller-stop":
         steps += [
@@ -203,7 +203,7 @@
     elif kind == "drain-zone":
         steps += [Step(at, "drain-zone", name=trouble.what), Step(at + lasts, "undrain-zone", name=trouble.what)]
     elif kind == "controller-restart":
-        restarted = day.processes_named(trouble.what) if trouble.what else {f"c{chance.randrange(day.controllers)}"}
+        restarted = day.processes_named(trouble.what) if trouble.what else {f"c{rng.randrange(day.controllers)}"}
         for target in sorted(int(name[1:]) for name in restarted if name[0] == "c"):
             steps.append(Step(at, "controller-kill", target))
             steps.append(Step(at + trouble.span, "controller-start", target))
--- a/sprucespool/standin/script.py
+++ b/sprucespool/standin/script.py
@@ -1,4 +1,4 @@
-"""A day of trouble as its script tells it. No I/O."""
+"""The script of a day: machines, traffic, settings and troubles. No I/O."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from sprucespool.settings.controller import Answers, Fleet, Forwards, Group, Orders, TenantShare, ZonePlace
 from sprucespool.settings.kdl import Bytes, Duration
 
-# Kind of trouble: what its figures mean. `docs/operate/days.md` says which trouble of the bench each one plays.
+# Kinds of troubles and the meaning of their properties. `docs/operate/days.md` lists the trouble of the bench that each one reproduces.
 KINDS = {
     "deploy": "invokers are replaced by cold ones, `batch` at a time, until `share` of them were",
     "renew": "like deploy, but the cold ones stand at the addresses of those before them",
@@ -52,7 +52,7 @@
 
 
 AT_LINKS = ("partition", "link-slow", "link-lossy")
-# Kinds that `what` may bound to a zone, a region or an invoker.
+# Kinds that `what` can limit to a zone, a region or an invoker.
 AT_PLACES = ("deploy", "renew", "hang", "crawl", "pauses", "answer-lost", "half-frame", "go-away", "refuse")
 
 
@@ -72,14 +72,14 @@
 
 
 class InvokerHabits(msgspec.Struct):
-    """How the stand-in invokers work."""
+    """Settings of the stand-in invokers."""
 
     queue: int = 60
     loads: int = 3
     load_queue: int = 8
     scales: bool = True
     cancel_drops: bool = True
-    # False: they answer inferences as any server of the protocol would, with no word of copies.
+    # False: they answer inferences as any server of the protocol does, without trailers about copies.
     tells: bool = True
 
 
@@ -93,12 +93,12 @@
 
 
 class Traffic(msgspec.Struct):
-    """Inferences of one model group. Times of models are means; single ones lie a third around them."""
+    """Inferences of one model group. Times of models are means; each model's time is within a third of it."""
 
     __args__ = ("group",)
     group: str
-    # Inferences a second, whatever becomes of them; or so many users, each of whom asks again when it has its answer
-    # and has thought about it, on the mean for `think`.
+    # Either inferences per second, independent of the answers, or a number of users, each of whom sends the next
+    # inference after the answer to the last one and a pause of `think` on average.
     rate: float = 0.0
     users: int = 0
     think: Duration = 1_000.0
@@ -110,14 +110,14 @@
     start: Duration = 250.0
     fetch: Duration = 400.0
     payload: Bytes = 2000
-    # By day and night: the rate swings by this part of itself, once in `wave_period`.
+    # Daily cycle: the rate varies by this fraction of itself, with the period `wave_period`.
     wave: float = 0.0
     wave_period: Duration = 20_000.0
-    # A match night: from `rush_at` for `rush_lasts` so many times the traffic, all more of it for the first model.
+    # A rush: `rush_factor` times the traffic from `rush_at` for `rush_lasts`; all the added traffic is for the first model.
     rush_at: Duration = 0.0
     rush_lasts: Duration = 0.0
     rush_factor: float = 1.0
-    # So often what is asked for most moves on to the next model; 0: never.
+    # Interval after which the most popular model changes to the next one; 0: never.
     drift: Duration = 0.0
 
     def __post_init__(self):
@@ -136,17 +136,17 @@
 
     @property
     def max_rate(self) -> float:
-        """Inferences a second without troubles, or, of users whose answers take no time, with."""
+        """Inferences per second without troubles; for users, the rate if answers took no time."""
         return self.rate or self.users * 1000.0 / self.think
 
     def rate_at(self, at: float) -> float:
-        """Inferences a second at that time, less what troubles make of it."""
-        swung = self.rate * (1 + self.wave * math.sin(2 * math.pi * at / self.wave_period)) if self.wave else self.rate
-        return swung * self.rush_factor if self.in_rush(at) else swung
+        """Inferences per second at that time, without the effect of troubles."""
+        rate = self.rate * (1 + self.wave * math.sin(2 * math.pi * at / self.wave_period)) if self.wave else self.rate
+        return rate * self.rush_factor if self.in_rush(at) else rate
 
 
 class Ask(msgspec.Struct):
-    """One inference, as it was asked or shall be. `wait`: what its client waits; 0: the route timeout."""
+    """One inference, recorded or to be sent. `wait`: the timeout of its client; 0: the route timeout."""
 
     __args__ = ("group",)
     group: str
@@ -163,8 +163,10 @@
 
 
 class Recorded(msgspec.Struct):
-    """Inferences from a file, an `Ask` as a JSON object a line, times in ms; found beside the script. `speed`: so many
-    times as fast as they came."""
+    """Inferences from a file beside the script: one `Ask` per line as a JSON object, times in ms.
+
+    They are sent `speed` times as fast as they were recorded.
+    """
 
     __args__ = ("file",)
     file: str
@@ -179,7 +181,7 @@
     retries: int = 1
     wait: Duration = 150.0
     marked: bool = True
-    # The part of the route timeout that a try waits, drawn between these.
+    # The timeout of an attempt as a fraction of the route timeout, drawn between these two.
     least_wait: float = 0.5
     most_wait: float = 1.0
     connections: int = 2
@@ -196,7 +198,7 @@
     every: Duration = 2_000.0
     batch: int = 2
     what: str = ""
-    # Names of zones, regions, controllers (c0), invokers (i0), or the roster; several with commas.
+    # Names of zones, regions, controllers (c0), invokers (i0), or the roster; several are separated by commas.
     between: str = ""
     and_: str = ""
     way: str = "both"
@@ -216,7 +218,7 @@
 
 
 class Distance(msgspec.Struct):
-    """One way between two zones or regions."""
+    """The one-way latency between two zones or regions."""
 
     __args__ = ("one", "other")
     one: str
@@ -226,15 +228,15 @@
 
 
 class DayGroup(msgspec.Struct):
-    """The controllers form a group, and all that talk are relayed, so that links can fail."""
+    """The controllers form a group, and all connections go through relays, so that links can fail."""
 
     period: Duration = 500.0
     loan: Duration = 6_000.0
-    # What its invariants are held to.
+    # Limits of the invariants of the group.
     alike_within: Duration = 15_000.0
     cleared_within: Duration = 20_000.0
     dead_within: Duration = 40_000.0
-    # Whether they keep a view of the invokers in common, and which controller lies in it (none: -1).
+    # Whether the controllers share a view of the invokers, and which controller reports false data in it (none: -1).
     view: bool = False
     liar: int = -1
     fleet_alike_within: Duration = 5_000.0
@@ -243,13 +245,16 @@
 
 
 class DayFailover(msgspec.Struct):
-    """The group plans what goes where between zones. `voters`: controllers (c0), with commas; `liar`: the controller
-    that lies about its zone's load (none: -1)."""
+    """The group plans how traffic is divided among the zones.
+
+    `voters`: controllers (c0), separated by commas; `liar`: the controller that reports a false load of its zone
+    (none: -1).
+    """
 
     voters: str = "c0,c1,c2"
     replace_after: Duration = 30_000.0
     liar: int = -1
-    # What its invariants are held to.
+    # Limits of the invariants of failover.
     follow_within: Duration = 10_000.0
     near_within: Duration = 30_000.0
     cap_slack: float = 0.4
@@ -259,20 +264,20 @@
 
 
 class Drawn(msgspec.Struct):
-    """Troubles drawn by chance from the seed: `count` of the kinds, anywhere in the day."""
+    """Random troubles, drawn from the seed: `count` of them, at any time of the day."""
 
     count: int = 3
 
 
 class Day(msgspec.Struct):
-    """All of a day's script."""
+    """The whole script of a day."""
 
     name: str
     lasts: Duration
     machines: list[Machines]
     model_groups: list[Group]
     traffics: list[Traffic] = []
-    # Inferences one by one, besides; `recorded` brings more of them.
+    # Single inferences in addition to the traffic; `recorded` adds more of them.
     asks: list[Ask] = []
     recorded: Recorded | None = None
     seed: int = 1
@@ -293,7 +298,7 @@
     failover: DayFailover | None = None
     places: list[ZonePlace] = []
     distances: list[Distance] = []
-    # What a controller that starts in the day is told: "none", "one" or "all" of the others, or its "snapshot".
+    # What a controller that starts during the day learns from: "none", "one" or "all" of the others, or its "snapshot".
     told: str = "none"
 
     def __post_init__(self):
@@ -313,7 +318,7 @@
         invokers = sum(machines.count for machines in self.machines)
         processes = {"roster", *(f"c{n}" for n in range(self.controllers)), *(f"i{n}" for n in range(invokers))}
         for name in (*self.zones, *(place.region for place in self.places)):
-            # Seen: a day that killed the controller c1 killed all controllers of the zone c1 as well.
+            # With a zone named c1, a day that killed the controller c1 killed all controllers of that zone as well.
             if name in processes:
                 raise ValueError(f"zone or region {name!r}: expected another name than a process has")
         for trouble in self.troubles:
@@ -342,23 +347,23 @@
         return next((place.region for place in self.places if place.zone == zone), "")
 
     def cell_of(self, invoker: int) -> str:
-        """The invokers of each zone stand in two cells, in turn."""
+        """The cell of an invoker: the invokers of each zone alternate between two cells."""
         zone = self.zones[invoker % len(self.zones)]
         return f"{zone}-{invoker // len(self.zones) % 2}"
 
     def processes_named(self, name: str) -> set[str]:
-        """The processes that a zone, region, cell (hall-a-0) or a process's own name stands for. Raises ValueError."""
+        """The processes in a zone, region or cell (hall-a-0), or the process of that name. Raises ValueError."""
         invokers = sum(machines.count for machines in self.machines)
-        every = [(f"c{n}", n) for n in range(self.controllers)] + [(f"i{n}", n) for n in range(invokers)]
+        processes = [(f"c{n}", n) for n in range(self.controllers)] + [(f"i{n}", n) for n in range(invokers)]
         found = {
-            one
-            for one, n in every
+            process
+            for process, n in processes
             if name
             in (
-                one,
+                process,
                 self.zones[n % len(self.zones)],
                 self.region_of(self.zones[n % len(self.zones)]),
-                self.cell_of(n) if one[0] == "i" else one,
+                self.cell_of(n) if process[0] == "i" else process,
             )
         }
         if not found and name != "roster":
--- a/sprucespool/standin/stage.py
+++ b/sprucespool/standin/stage.py
@@ -504,7 +504,7 @@
             self.notes.close()
 
     async def _start_clients(self) -> Process:
-        """Start the clients. They get the start time of the day before they run, so a loaded machine needs more margin."""
+        """Start the clients. They learn the start time of the day before they run: slow machines need a longer margin."""
         for margin in (1_500.0, 5_000.0, 15_000.0):
             begin = now_ms() + margin
             plan = ClientsPlan(self.day, begin, self.addresses, str(self.folder / "clients.jsonl"))
@@ -587,7 +587,10 @@
 
 
 def play(day: Day, options: Options) -> Result:
-    """Play a day in separate processes. In the main thread, SIGTERM and SIGHUP end it with cleanup. Raises StageFailed."""
+    """Play a day in separate processes. Raises StageFailed.
+
+    In the main thread, SIGTERM and SIGHUP stop the day and all its processes.
+    """
     if options.folder is not None:
         options.folder.mkdir(parents=True, exist_ok=True)
         return asyncio.run(_play(day, options, options.folder))
