--- a/sprucespool/lab/world.py
+++ b/sprucespool/lab/world.py
@@ -380,7 +380,7 @@
         tried = _Try(plan, f"{plan.root}.{nth}", nth, begun, ttl, which)
         self.note(seen.Sent(self.now, tried.id, plan.root, which, plan.group, ttl, plan.tenant, nth))
         self._later(WAY.delay, partial(self._at_door, tried, self.now, self.now + ttl))
-        wait = ttl + EXTRA_LISTEN_MS if plan.leaves_part is None else ttl * plan.leaves_part
+        wait = ttl + EXTRA_LISTEN_MS if plan.leave_share is None else ttl * plan.leave_share
         self._later(wait, partial(self._waited, tried))
 
     def _at_door(self, tried: _Try, sent: float, until: float):
@@ -419,7 +419,7 @@
         if tried.over:
             return
         tried.over = True
-        self.note((seen.NoAnswer if tried.plan.leaves_part is None else seen.LeftEarly)(self.now, tried.id))
+        self.note((seen.NoAnswer if tried.plan.leave_share is None else seen.LeftEarly)(self.now, tried.id))
         one = self.members.get(f"c{tried.which}")
         if one is not None and self.desks[one].tries.pop(tried.id, None) is not None:
             self._later(WAY.delay, partial(self._give, one, ms.Left(tried.id)))
--- a/sprucespool/standin/clients.py
+++ b/sprucespool/standin/clients.py
@@ -1,4 +1,5 @@
-"""Clients of a day, as a process: at a rate or as users, repeats as the script says, each try's end written down."""
+"""The clients of a day, as one process: sends inferences at a rate or as users, retries as the script says, and notes
+the result of each attempt."""
 
 from __future__ import annotations
 
@@ -23,7 +24,7 @@
 from sprucespool.wire import inference_pb2 as oip
 from sprucespool.wire import names, outcomes
 
-# How long a client listens on after its time, only to see whether an answer comes all the same.
+# How long a client listens after its timeout, only to see whether an answer still arrives.
 EXTRA_LISTEN_MS = 1500.0
 
 
@@ -35,7 +36,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Try:
+class _Attempt:
     plan: Plan
     id: str
     nth: int
@@ -44,42 +45,45 @@
     ttl: float
     controller: int
     call: PoolCall | None = None
-    over: bool = False
+    closed: bool = False
     timer: asyncio.TimerHandle | None = None
 
 
 class Clients:
-    def __init__(self, told: ClientsPlan):
-        self.day, self.told = told.day, told
+    def __init__(self, config: ClientsPlan):
+        self.day, self.config = config.day, config
         self.loop = asyncio.get_running_loop()
-        self.notes = Notes(told.notes)
-        self.chance = random.Random(told.day.seed + 77)
-        self.groups: dict[str, Group] = {group.name: group for group in told.day.model_groups}
+        self.notes = Notes(config.notes)
+        self.rng = random.Random(config.day.seed + 77)
+        self.groups: dict[str, Group] = {group.name: group for group in config.day.model_groups}
         limits = PoolLimits(
-            connections=told.day.clients.connections,
+            connections=config.day.clients.connections,
             connect_timeout=500.0,
             waiting=10_000,
             initial_backoff=20.0,
             max_backoff=300.0,
         )
-        self.pools = [Pool(*address(where), Limits(), limits, n) for n, where in enumerate(told.controllers)]
-        self.turn = itertools.count()
-        self.asking = RequestSource(told.day)
-        # Tries out, and users that think.
-        self.open = 0
+        self.pools = [
+            Pool(*address(controller_address), Limits(), limits, n)
+            for n, controller_address in enumerate(config.controllers)
+        ]
+        self.next_controller = itertools.count()
+        self.requests = RequestSource(config.day)
+        # Attempts in flight, pending retries, and users that pause before their next inference.
+        self.open_count = 0
         self.quiet = asyncio.Event()
         self.answers: dict[int, int] = {}
 
     async def run(self) -> None:
-        plans = self.asking.first()
+        plans = self.requests.first()
         gc.freeze()
         for plan in plans:
-            wait = self.told.begin + plan.at - now_ms()
+            wait = self.config.begin + plan.at - now_ms()
             if wait > 0:
                 await asyncio.sleep(wait / 1000.0)
             self._send(plan, 0, 0.0, -1)
-        end = self.told.begin + self.day.lasts + 30_000.0
-        while self.open and now_ms() < end:
+        end = self.config.begin + self.day.lasts + 30_000.0
+        while self.open_count and now_ms() < end:
             await asyncio.sleep(0.05)
         for pool in self.pools:
             pool.close()
@@ -104,87 +108,88 @@
         begun = begun or now
         ttl = attempt_timeout(plan, group, nth, begun, now)
         if ttl < MIN_WAIT_MS:
-            return self._next(plan)
-        which = next(self.turn) % len(self.pools)
-        if which == avoid:
-            which = (which + 1) % len(self.pools)
-        one = _Try(plan, f"{plan.root}.{nth}", nth, begun, now, ttl, which)
-        self.open += 1
-        self.notes.write(seen.Sent(now, one.id, plan.root, which, plan.group, ttl, plan.tenant, nth))
+            return self._send_following(plan)
+        controller = next(self.next_controller) % len(self.pools)
+        if controller == avoid:
+            controller = (controller + 1) % len(self.pools)
+        attempt = _Attempt(plan, f"{plan.root}.{nth}", nth, begun, now, ttl, controller)
+        self.open_count += 1
+        self.notes.write(seen.Sent(now, attempt.id, plan.root, controller, plan.group, ttl, plan.tenant, nth))
         metadata = {names.PREVIOUS_ATTEMPTS: str(nth)} if nth and self.day.clients.marked else {}
         path = names.MODEL_STREAM_INFER if group.streamed else names.MODEL_INFER
-        one.call = self.pools[which].call(
-            path, metadata, ttl, self._request(plan, one.id, group), lambda event: self._heard(one, event)
+        attempt.call = self.pools[controller].call(
+            path, metadata, ttl, self._request(plan, attempt.id, group), lambda event: self._on_event(attempt, event)
         )
-        wait = ttl + EXTRA_LISTEN_MS if plan.leaves_part is None else ttl * plan.leaves_part
-        one.timer = self.loop.call_later(wait / 1000.0, self._waited, one)
+        wait = ttl + EXTRA_LISTEN_MS if plan.leave_share is None else ttl * plan.leave_share
+        attempt.timer = self.loop.call_later(wait / 1000.0, self._on_timeout, attempt)
 
-    def _waited(self, one: _Try):
-        if one.over:
+    def _on_timeout(self, attempt: _Attempt):
+        if attempt.closed:
             return
-        if one.call is not None:
-            one.call.cancel()
-        if one.plan.leaves_part is not None:
-            self.notes.write(seen.LeftEarly(now_ms(), one.id))
+        if attempt.call is not None:
+            attempt.call.cancel()
+        if attempt.plan.leave_share is not None:
+            self.notes.write(seen.LeftEarly(now_ms(), attempt.id))
         else:
-            self.notes.write(seen.NoAnswer(now_ms(), one.id))
-        self._over(one)
-        self._next(one.plan)
+            self.notes.write(seen.NoAnswer(now_ms(), attempt.id))
+        self._close(attempt)
+        self._send_following(attempt.plan)
 
-    def _over(self, one: _Try):
-        one.over = True
-        self.open -= 1
-        if one.timer is not None:
-            one.timer.cancel()
+    def _close(self, attempt: _Attempt):
+        attempt.closed = True
+        self.open_count -= 1
+        if attempt.timer is not None:
+            attempt.timer.cancel()
 
-    def _heard(self, one: _Try, event: CallEvent):
+    def _on_event(self, attempt: _Attempt, event: CallEvent):
         if isinstance(event, Message):
-            if one.call is not None:
-                one.call.consumed(event.size)
+            if attempt.call is not None:
+                attempt.call.consumed(event.size)
             return
-        if not isinstance(event, FINAL_EVENTS) or one.over:
+        if not isinstance(event, FINAL_EVENTS) or attempt.closed:
             return
-        now, group = now_ms(), self.groups[one.plan.group]
-        status, never, wait = None, False, self.day.clients.wait
+        now, group = now_ms(), self.groups[attempt.plan.group]
+        status, never_ran, wait = None, False, self.day.clients.wait
         if isinstance(event, Answered):
             pushback = outcomes.read_int(event.trailers, names.PUSHBACK)
-            self.notes.write(seen.Answer(now, one.id, int(event.status), event.message, pushback))
+            self.notes.write(seen.Answer(now, attempt.id, int(event.status), event.message, pushback))
             status = event.status
             if status is Status.RESOURCE_EXHAUSTED:
                 wait = max(wait, pushback or 0.0)
         else:
-            # The stream or the connection went. Unconnected, or refused unseen: harmless to any group.
-            never = isinstance(event, Unconnected) or isinstance(event, Reset) and event.never_ran
-            self.notes.write(seen.Unreached(now, one.id, isinstance(event, (Broken, Reset)) and not never))
-        self._over(one)
-        if should_retry(one.plan, group, self.day.clients, one.nth, status, never):
-            spread = wait * self.chance.uniform(0.8, 1.2)
-            self.open += 1
-            self.loop.call_later(spread / 1000.0, self._again, one)
+            # The stream or the connection was lost. Without a connection, or if the request was refused before it was
+            # processed, a retry is safe for every group.
+            never_ran = isinstance(event, Unconnected) or isinstance(event, Reset) and event.never_ran
+            self.notes.write(seen.Unreached(now, attempt.id, isinstance(event, (Broken, Reset)) and not never_ran))
+        self._close(attempt)
+        if should_retry(attempt.plan, group, self.day.clients, attempt.nth, status, never_ran):
+            delay = wait * self.rng.uniform(0.8, 1.2)
+            self.open_count += 1
+            self.loop.call_later(delay / 1000.0, self._retry, attempt)
         else:
-            self._next(one.plan)
+            self._send_following(attempt.plan)
 
-    def _next(self, plan: Plan):
-        """Where a user asked, it asks again."""
+    def _send_following(self, plan: Plan):
+        """If the attempt belonged to a user, schedule the next inference of that user."""
         now = now_ms()
-        found = self.asking.after(plan, now - self.told.begin)
-        if found is not None:
-            self.open += 1
-            self.loop.call_later(max(0.0, self.told.begin + found.at - now) / 1000.0, self._thought, found)
+        following = self.requests.after(plan, now - self.config.begin)
+        if following is not None:
+            self.open_count += 1
+            self.loop.call_later(max(0.0, self.config.begin + following.at - now) / 1000.0, self._send_first, following)
 
-    def _thought(self, plan: Plan):
-        self.open -= 1
+    def _send_first(self, plan: Plan):
+        self.open_count -= 1
         self._send(plan, 0, 0.0, -1)
 
-    def _again(self, one: _Try):
-        self.open -= 1
-        self._send(one.plan, one.nth + 1, one.begun, one.controller)
+    def _retry(self, attempt: _Attempt):
+        self.open_count -= 1
+        self._send(attempt.plan, attempt.nth + 1, attempt.begun, attempt.controller)
 
 
 async def _main(path: str) -> None:
     with open(path, "rb") as source:
-        told = msgspec.json.decode(source.read(), type=ClientsPlan)
-    clients = Clients(told)
+        config = msgspec.json.decode(source.read(), type=ClientsPlan)
+    clients = Clients(config)
     print("ready", flush=True)
     await clients.run()
 
--- a/sprucespool/standin/jumping.py
+++ b/sprucespool/standin/jumping.py
@@ -1,27 +1,27 @@
-"""A controller whose clock can be made to jump: for days in which a machine sleeps and wakes minutes later."""
+"""An event loop whose clock can jump, to simulate a machine that sleeps and wakes minutes later."""
 
 from __future__ import annotations
 
 import asyncio
 import signal
 
-# SIGUSR2 takes its clock so many seconds ahead.
-AHEAD = 180.0
+# SIGUSR2 moves the clock ahead by this much.
+JUMP_SECONDS = 180.0
 
 
 class JumpingLoop(asyncio.SelectorEventLoop):
-    """All that a controller knows of time is its loop's."""
+    """An event loop with an adjustable clock. A controller reads the time only from its loop."""
 
     def __init__(self) -> None:
-        self.ahead = 0.0
+        self.offset = 0.0
         super().__init__()
         self.add_signal_handler(signal.SIGUSR2, self._jump)
 
     def _jump(self) -> None:
-        self.ahead += AHEAD
+        self.offset += JUMP_SECONDS
 
     def time(self) -> float:
-        return super().time() + self.ahead
+        return super().time() + self.offset
 
 
 LOOPS = {"clock-jumps": JumpingLoop}
--- a/sprucespool/standin/members.py
+++ b/sprucespool/standin/members.py
@@ -1,4 +1,4 @@
-"""Broken members, each without one thing that an invariant of the group rests on. For proving the checker only."""
+"""Broken group members, each without one property that an invariant needs. Used only to test the checker."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Shunning(Group):
-    """(a) Hears nobody whom it holds dead: halves that lost each other never meet again."""
+    """(a) Ignores members that it considers dead, so partitions never merge again."""
 
     def receive(self, now: float, message: Message) -> list[Outgoing]:
         held = self.table.records.get(message.sender.seat)
@@ -18,14 +18,14 @@
 
 
 class Silent(Group):
-    """(b) Says nothing when it hears that it is taken for dead."""
+    """(b) Does not refute a report of its own death."""
 
     def _learn_about_self(self, now: float, row: Row, reporter: str) -> bool:
         return False
 
 
 class Trusting(Group):
-    """(c) Accuses nobody and believes no accusation."""
+    """(c) Suspects no member and accepts no suspicion."""
 
     def _check_failed(self, now: float, check) -> None:
         pass
@@ -35,7 +35,7 @@
 
 
 class Forgetful(Group):
-    """(d) Counts its own tellings from the start again."""
+    """(d) Restarts the version numbers of its own row."""
 
     def _period(self, now: float) -> list[Outgoing]:
         if self._periods % 4 == 0:
@@ -43,12 +43,12 @@
         return super()._period(now)
 
     def _learn_about_self(self, now: float, row: Row, reporter: str) -> bool:
-        # What others remember of its tellings would else put it right before anybody looks.
+        # Otherwise the versions that others remember would correct it before a check sees it.
         return False
 
 
 class Wordless(Group):
-    """(e) Leaves without a word."""
+    """(e) Leaves without notifying anyone."""
 
     def leave(self, now: float) -> list[Outgoing]:
         super().leave(now)
@@ -60,14 +60,14 @@
 
 
 class Greedy(Group):
-    """(f) Divides by those it sees, whoever else there may be."""
+    """(f) Computes its share from the members that it sees, ignoring any others."""
 
     def share(self) -> float:
         return 1.0 / max(1, len(self.live()))
 
 
 class Liar(Group):
-    """Breaks no invariant by itself: says of all others, again and again and ever higher, that they are silent."""
+    """Reports all others as suspected, repeatedly and with rising incarnations. Breaks no invariant itself."""
 
     def _period(self, now: float) -> list[Outgoing]:
         rows = tuple(
--- a/sprucespool/standin/plans.py
+++ b/sprucespool/standin/plans.py
@@ -1,4 +1,4 @@
-"""Broken builds of failover, each without one thing that an invariant rests on. For proving the checker only."""
+"""Broken builds of failover, each without one property that an invariant needs. Used only to test the checker."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from sprucespool.failover.council import Council, Effect, Word
 
 
-class Unnumbered(Council):
-    """(a) A leader changes its plan under the number that it had, and followers take it."""
+class ReusedEpochCouncil(Council):
+    """(a) A leader changes its plan without a new epoch, and followers accept it."""
 
     def propose(self, now: float, plan: Plan) -> list[Effect]:
         effects = super().propose(now, plan)
@@ -24,78 +24,82 @@
             self.plan = word.plan
         return super()._follow(now, word)
 
-    def learn(self, now: float, told: Renewal) -> bool:
-        if self.decided is not None and told.plan.epoch == self.decided.epoch:
-            self.decided = told.plan
-        return super().learn(now, told)
+    def learn(self, now: float, renewal: Renewal) -> bool:
+        if self.decided is not None and renewal.plan.epoch == self.decided.epoch:
+            self.decided = renewal.plan
+        return super().learn(now, renewal)
 
 
 @dataclass(eq=False)
-class OneNumber(Failover):
-    """(a)"""
+class ReusedEpochFailover(Failover):
+    """(a) Failover with a council that reuses epochs."""
 
     def __post_init__(self):
         super().__post_init__()
         council = self.council
-        self.council = Unnumbered(council.name, council.voters, council.seed, council.kept, council.limits)
+        self.council = ReusedEpochCouncil(council.name, council.voters, council.seed, council.kept, council.limits)
 
 
-class Crowding(Steer):
-    """(b) What has to leave its zone goes to one other, whatever that can take."""
+class SingleTargetSteer(Steer):
+    """(b) All traffic that leaves its zone goes to one other zone, regardless of the capacity there."""
 
     def _weights(self, row: Mapping[str, float], bound: bool) -> dict[str, float]:
         return {self.topology.zones[-1]: 1.0}
 
 
-class Straying(Steer):
-    """(c) Every zone is as good as the own one."""
+class NoLocalitySteer(Steer):
+    """(c) Gives the own zone no preference over the others."""
 
     def _weights(self, row: Mapping[str, float], bound: bool) -> dict[str, float]:
         return dict.fromkeys(self._reach(bound), 1.0)
 
 
-class Leaking(Steer):
-    """(d) What must stay in its region goes where all else goes."""
+class IgnoredBoundsSteer(Steer):
+    """(d) Sends traffic that must stay in its region to any zone."""
 
     def zones(self, now: float, plan: Plan, bound: bool, value: float) -> tuple[str, ...]:
         return super().zones(now, replace(plan, bound=plan.free), False, value)
 
 
-class Restless(Planner):
-    """(e) Another plan with each look."""
+class AlwaysNewPlanner(Planner):
+    """(e) Makes another plan with each check."""
 
     def next(self, now: float, states: Mapping[str, ZoneState], plan: Plan) -> Plan | None:
         return replace(plan, reason=f"as of {now:.0f}")
 
 
 @dataclass(eq=False)
-class Fidgeting(Failover):
-    """(e)"""
+class AlwaysNewPlanFailover(Failover):
+    """(e) Failover with a planner that always makes another plan."""
 
     def __post_init__(self):
         super().__post_init__()
-        self.planner = Restless(self.topology, self.planner_limits)
+        self.planner = AlwaysNewPlanner(self.topology, self.planner_limits)
 
 
 @dataclass(eq=False)
-class Unled(Failover):
-    """(f) Who has no vote takes nobody's plan."""
+class IgnoredLeaderFailover(Failover):
+    """(f) A controller without a vote accepts no plan."""
 
-    def rode(self, now: float, told: Renewal) -> None:
+    def rode(self, now: float, renewal: Renewal) -> None:
         pass
 
 
 @dataclass(eq=False)
 class Liar(Failover):
-    """Breaks nothing by itself: the others have to bear with it."""
+    """Reports a false load of its zone. Breaks no invariant itself; the others must tolerate it."""
 
     meter_kind = LyingMeter
 
 
 PLANS: dict[str, type[Failover]] = {
-    "failover-a": OneNumber,
-    "failover-e": Fidgeting,
-    "failover-f": Unled,
+    "failover-a": ReusedEpochFailover,
+    "failover-e": AlwaysNewPlanFailover,
+    "failover-f": IgnoredLeaderFailover,
     "failover-liar": Liar,
 }
-STEERS: dict[str, type[Steer]] = {"failover-b": Crowding, "failover-c": Straying, "failover-d": Leaking}
+STEERS: dict[str, type[Steer]] = {
+    "failover-b": SingleTargetSteer,
+    "failover-c": NoLocalitySteer,
+    "failover-d": IgnoredBoundsSteer,
+}
--- a/sprucespool/standin/platform.py
+++ b/sprucespool/standin/platform.py
@@ -1,4 +1,4 @@
-"""The stand-in roster and the stand-in model library, in the stage's own process."""
+"""The stand-in roster and the stand-in model library, which run in the process of the stage."""
 
 from __future__ import annotations
 
@@ -35,28 +35,28 @@
 
 
 class Roster:
-    """Changes come out late, by `lag` and what the script adds; each watcher hears them in order."""
+    """The roster service. Publishes changes after `lag` plus what the script adds; each watcher gets them in order."""
 
     def __init__(self, notes: Notes, lag: float, seed: int):
         self.notes, self.lag, self.extra = notes, lag, 0.0
         self.loop = asyncio.get_running_loop()
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.listed: dict[str, Listed] = {}
-        self.ever: set[str] = set()
+        self.all_addresses: set[str] = set()
         self.watchers: dict[ServerCall, int] = {}
         self.version = 0
         self.last_due = 0.0
         self.down = False
-        # What it said when, to be restored from; whether what is sent to a controller can arrive there.
-        self.copies: list[tuple[float, int, dict[str, Listed]]] = []
+        # Earlier states by time and version, to restore from, and whether messages can reach a controller.
+        self.history: list[tuple[float, int, dict[str, Listed]]] = []
         self.reaches: Callable[[int], bool] = lambda controller: True
 
     def methods(self) -> dict[str, Method]:
         return {names.ROSTER_WATCH: unary(self._watch), names.ROSTER_FETCH: unary(self._fetch)}
 
     def change(self, entry: Listed, at_once: bool = False) -> None:
-        """It is so from now on; controllers hear of it later."""
-        due = now_ms() + (0.0 if at_once else self.lag * self.chance.uniform(0.7, 1.3) + self.extra)
+        """Record a change of now; controllers are notified later."""
+        due = now_ms() + (0.0 if at_once else self.lag * self.rng.uniform(0.7, 1.3) + self.extra)
         self.last_due = due = max(due, self.last_due + 0.01)
         self.loop.call_at(due / 1000.0, self._publish, entry)
 
@@ -66,49 +66,51 @@
             self.listed.pop(entry.address, None)
         else:
             self.listed[entry.address] = entry
-        self.copies.append((now_ms(), self.version, dict(self.listed)))
+        self.history.append((now_ms(), self.version, dict(self.listed)))
         for call in list(self.watchers):
             self._send(call, platform.RosterNews.UPDATE, [entry])
 
     def _send(self, call: ServerCall, kind: Any, entries: list[Listed]):
-        news = platform.RosterNews(
+        message = platform.RosterNews(
             kind=kind,
             version=self.version,
             source="roster",
             entries=[
                 platform.RosterEntry(
-                    address=one.address,
-                    zone=one.zone,
-                    machine_kind=one.kind,
-                    cell=one.cell,
-                    status=one.status,  # type: ignore
-                    size=one.size,
-                    boot=one.boot,
-                    age_ms=max(0.0, now_ms() - one.born),
+                    address=entry.address,
+                    zone=entry.zone,
+                    machine_kind=entry.kind,
+                    cell=entry.cell,
+                    status=entry.status,  # type: ignore
+                    size=entry.size,
+                    boot=entry.boot,
+                    age_ms=max(0.0, now_ms() - entry.born),
                 )
-                for one in entries
+                for entry in entries
             ],
         )
         now = now_ms()
-        reached = self.reaches(self.watchers.get(call, -1))
-        for one in entries if reached else ():
-            self.notes.write(seen.Told(now, self.watchers.get(call, -1), one.address, one.boot, STATUS[one.status]))
-        if kind == platform.RosterNews.REPLACE and reached:
-            # What a full list leaves out is gone.
-            named = {one.address for one in entries}
-            for address in sorted(self.ever - named):
+        reachable = self.reaches(self.watchers.get(call, -1))
+        for entry in entries if reachable else ():
+            self.notes.write(
+                seen.Told(now, self.watchers.get(call, -1), entry.address, entry.boot, STATUS[entry.status])
+            )
+        if kind == platform.RosterNews.REPLACE and reachable:
+            # A process that a full list omits is gone.
+            listed_addresses = {entry.address for entry in entries}
+            for address in sorted(self.all_addresses - listed_addresses):
                 self.notes.write(seen.Told(now, self.watchers.get(call, -1), address, "", "gone"))
-        self.ever |= {one.address for one in entries}
-        call.send(news.SerializeToString())
+        self.all_addresses |= {entry.address for entry in entries}
+        call.send(message.SerializeToString())
 
     def _watch(self, call: ServerCall, data: bytes):
         if self.down:
             return call.finish(Status.UNAVAILABLE, "the roster is down")
         self.watchers[call] = outcomes.read_controller(call.metadata)
-        call.on_cancelled = lambda: self._gone(call)
+        call.on_cancelled = lambda: self._unsubscribe(call)
         self._send(call, platform.RosterNews.REPLACE, list(self.listed.values()))
 
-    def _gone(self, call: ServerCall):
+    def _unsubscribe(self, call: ServerCall):
         self.watchers.pop(call, None)
 
     def _fetch(self, call: ServerCall, data: bytes):
@@ -120,9 +122,11 @@
         call.finish(Status.OK)
 
     def restore(self, span: float) -> None:
-        """From a copy that is `span` ms old; watchers must come again."""
+        """Restore the state of `span` ms ago; watchers have to subscribe again."""
         _, self.version, listed = max(
-            (one for one in self.copies if one[0] <= now_ms() - span), default=self.copies[0], key=lambda one: one[0]
+            (snapshot for snapshot in self.history if snapshot[0] <= now_ms() - span),
+            default=self.history[0],
+            key=lambda snapshot: snapshot[0],
         )
         self.listed = dict(listed)
         self.break_all()
@@ -136,7 +140,7 @@
 
 
 class LibraryService:
-    """The library model behind its one method."""
+    """Serves the library model over its one method, Fetch."""
 
     def __init__(self, notes: Notes, facts: LibraryFacts, catalog: dict[str, ModelInfo]):
         self.notes, self.catalog = notes, catalog
@@ -154,10 +158,10 @@
         self._arm()
 
     def _fetch(self, call: ServerCall, data: bytes):
-        asked = platform.FetchRequest.FromString(data)
-        info = self.catalog.get(asked.model)
+        request = platform.FetchRequest.FromString(data)
+        info = self.catalog.get(request.model)
         if info is None:
-            return call.finish(Status.NOT_FOUND, f"no model {asked.model[:100]!r}")
+            return call.finish(Status.NOT_FOUND, f"no model {request.model[:100]!r}")
         self._advance()
         fetch = Fetch(call, info.fetch)
         if not self.library.begin(fetch):
--- a/sprucespool/standin/processes.py
+++ b/sprucespool/standin/processes.py
@@ -1,4 +1,4 @@
-"""Child processes of a stage: each says on its first line that it is ready."""
+"""Child processes of a stage. Each reports on its first output line that it is ready."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 class StageFailed(Exception):
-    """The day could not be played; the text says what did not start or end."""
+    """The day could not be played; the message names the process that did not start or stop."""
 
 
 class Process:
-    """A child that says on its first line that it is ready."""
+    """A child process that reports on its first output line that it is ready."""
 
     def __init__(self, command: list[str], log: Path):
         self.log = log
@@ -29,13 +29,13 @@
         def read():
             assert self.popen.stdout is not None
             line = self.popen.stdout.readline().decode().strip()
-            loop.call_soon_threadsafe(self._said, line)
+            loop.call_soon_threadsafe(self._set_ready, line)
             self.remaining_output = self.popen.stdout.read().decode(errors="replace")
 
         self.reader = threading.Thread(target=read, daemon=True)
         self.reader.start()
 
-    def _said(self, line: str):
+    def _set_ready(self, line: str):
         if not self.ready.done():
             self.ready.set_result(line)
 
@@ -63,7 +63,7 @@
             self.popen.send_signal(number)
 
     async def ended(self, timeout: float) -> int | None:
-        """Its exit status, or None if it is still there after `timeout` seconds."""
+        """The exit status, or None if the process still runs after `timeout` seconds."""
         end = asyncio.get_running_loop().time() + timeout
         while self.popen.poll() is None and asyncio.get_running_loop().time() < end:
             await asyncio.sleep(0.02)
@@ -72,7 +72,7 @@
         return self.popen.poll()
 
     def end(self) -> None:
-        """At once, whatever it does."""
+        """Kill the process if it still runs."""
         if self.popen.poll() is None:
             self.popen.kill()
         self.popen.wait()
--- a/sprucespool/standin/rig.py
+++ b/sprucespool/standin/rig.py
@@ -1,4 +1,4 @@
-"""Several processes of `sprucespool serve` on loopback with relays before them, faults, and a watch on their views."""
+"""Several processes of `sprucespool serve` on loopback behind relays, with faults and a watch on their views."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Rig:
-    """Controllers by name. Use `async with`: no process is left behind, whatever fails."""
+    """Runs controllers by name. Use it in `async with`, so that every process is stopped after a failure too."""
 
     def __init__(
         self,
@@ -37,11 +37,11 @@
         self.folder, self.seed, self.period, self.decider, self.loan = folder, seed, period, decider, loan
         self.relays = Relays(seed, usual)
         self.watch = Watch(every)
-        # Whether they keep a view of the invokers; whose roster is a file of its own.
+        # Whether the controllers keep a view of the invokers; the roster files of controllers that have their own.
         self.view = self.watch.watch_fleet = view
         self.rosters: dict[str, Path] = {}
         self.processes: dict[str, Process] = {}
-        self.all: list[Process] = []
+        self.all_processes: list[Process] = []
         self.places: dict[str, Place] = {}
         self.seeds: list[str] = []
         self.deciders: dict[str, str] = {}
@@ -53,14 +53,14 @@
 
     async def __aexit__(self, *_: object) -> None:
         self.watch.stop()
-        for process in self.all:
+        for process in self.all_processes:
             process.end()
         await self.relays.close()
 
     # Processes
 
     async def start(self, name: str, place: Place | None = None, seeds: list[str] | None = None) -> None:
-        """Start a controller, or one anew at the place it had."""
+        """Start a controller, or restart one at its earlier place."""
         self.places[name] = place = place or self.places[name]
         relay = await self.relays.relay_for(name)
         plan = ControllerPlan(
@@ -73,7 +73,7 @@
             group=GroupPlan(
                 "rig",
                 "a mark of the rig",
-                [Seed(one) for one in (self.seeds if seeds is None else seeds)],
+                [Seed(seed) for seed in (self.seeds if seeds is None else seeds)],
                 name,
                 relay.address,
                 self.period,
@@ -90,11 +90,11 @@
         if decider != "hiku":
             command += ["--decider", decider]
         process = self.processes[name] = Process(command, self.folder / f"{name}.err")
-        self.all.append(process)
-        where = (await process.started()).removeprefix("listening on ")
+        self.all_processes.append(process)
+        address = (await process.started()).removeprefix("listening on ")
         self.watch.note(seen.Began(now_ms(), name))
-        self.watch.add(name, where)
-        await relay.set_target(where)
+        self.watch.add(name, address)
+        await relay.set_target(address)
 
     async def start_all(self, count: int, regions: int = 1, zones: int = 3, of: int = 0) -> list[str]:
         names = [f"c{n}" for n in range(count)]
@@ -113,7 +113,7 @@
         self.processes.pop(name).signal(signal.SIGKILL)
 
     async def leave(self, name: str) -> int | None:
-        """SIGTERM, and its end."""
+        """Stop a controller with SIGTERM and return its exit status."""
         self.watch.note(seen.Ended(now_ms(), name, "left"))
         self.watch.drop(name)
         process = self.processes.pop(name)
@@ -123,9 +123,9 @@
         return code
 
     def hold(self, names: Iterable[str]) -> None:
-        held = list(names)
-        self.watch.note(seen.Faulted(now_ms(), held=held))
-        for name in held:
+        stopped = list(names)
+        self.watch.note(seen.Faulted(now_ms(), held=stopped))
+        for name in stopped:
             self.watch.quiet.add(name)
             self.processes[name].signal(signal.SIGSTOP)
 
@@ -158,16 +158,16 @@
     # Waiting
 
     async def until(self, holds: Callable[[], bool], within: float = 60.0) -> float | None:
-        """Seconds until `holds`, looked at with each new view; None if it never did."""
-        begun = asyncio.get_running_loop().time()
-        while asyncio.get_running_loop().time() - begun < within:
+        """Seconds until `holds()` is true, checked every 50 ms; None if it was not within `within` seconds."""
+        started_at = asyncio.get_running_loop().time()
+        while asyncio.get_running_loop().time() - started_at < within:
             if holds():
-                return asyncio.get_running_loop().time() - begun
+                return asyncio.get_running_loop().time() - started_at
             await asyncio.sleep(0.05)
         return None
 
     def alike(self, names: Iterable[str] | None = None) -> bool:
-        """Those named, or all that run, told the same digest in their last view, and are all that is in it."""
+        """Whether the last views of the named (or all running) controllers have the same digest and list just these."""
         chosen = set(self.processes if names is None else names)
         views = [self.watch.newest.get(name) for name in chosen]
         if any(view is None or now_ms() - view.t > 1_500.0 for view in views):
--- a/sprucespool/standin/schedule.py
+++ b/sprucespool/standin/schedule.py
@@ -1,4 +1,4 @@
-"""What a day's troubles mean for which process and next_at, drawn from the seed. No I/O, no clock."""
+"""Translates the troubles of a day into timed steps and faults of processes, drawn from the seed. No I/O, no clock."""
 
 from __future__ import annotations
 
--- a/sprucespool/standin/script.py
+++ b/sprucespool/standin/script.py
@@ -10,7 +10,8 @@
 from sprucespool.settings.controller import Answers, Fleet, Forwards, Group, Orders, TenantShare, ZonePlace
 from sprucespool.settings.kdl import Bytes, Duration
 
-# Kinds of troubles and the meaning of their properties. `docs/operate/days.md` lists the trouble of the bench that each one reproduces.
+# Kinds of troubles and the meaning of their properties. `docs/operate/days.md` lists the trouble of the bench that
+# each one reproduces.
 KINDS = {
     "deploy": "invokers are replaced by cold ones, `batch` at a time, until `share` of them were",
     "renew": "like deploy, but the cold ones stand at the addresses of those before them",
@@ -113,7 +114,7 @@
     # Daily cycle: the rate varies by this fraction of itself, with the period `wave_period`.
     wave: float = 0.0
     wave_period: Duration = 20_000.0
-    # A rush: `rush_factor` times the traffic from `rush_at` for `rush_lasts`; all the added traffic is for the first model.
+    # A rush: `rush_factor` times the traffic from `rush_at` for `rush_lasts`; the added traffic is for the first model.
     rush_at: Duration = 0.0
     rush_lasts: Duration = 0.0
     rush_factor: float = 1.0
--- a/sprucespool/standin/stage.py
+++ b/sprucespool/standin/stage.py
@@ -504,7 +504,7 @@
             self.notes.close()
 
     async def _start_clients(self) -> Process:
-        """Start the clients. They learn the start time of the day before they run: slow machines need a longer margin."""
+        """Start the clients. They learn the start time before they run: slow machines need a longer margin."""
         for margin in (1_500.0, 5_000.0, 15_000.0):
             begin = now_ms() + margin
             plan = ClientsPlan(self.day, begin, self.addresses, str(self.folder / "clients.jsonl"))
--- a/sprucespool/standin/trace.py
+++ b/sprucespool/standin/trace.py
@@ -1,4 +1,4 @@
-"""A stand-in's notes of what it saw, a line each, kept when its process is killed."""
+"""The trace file of a stand-in: one observation per line, complete even if the process is killed."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 def now_ms() -> float:
-    """The machine's monotonic clock: the same for all processes on it."""
+    """The monotonic clock of the machine, which all its processes share."""
     return time.monotonic() * 1000.0
 
 
 class Notes:
     def __init__(self, path: str):
-        # Unbuffered: what a killed process saw last is what matters most.
+        # Unbuffered, because the last lines of a killed process matter most.
         self.sink = io.FileIO(path, "a")
 
     def write(self, seen: Seen) -> None:
--- a/sprucespool/standin/views.py
+++ b/sprucespool/standin/views.py
@@ -1,4 +1,4 @@
-"""Broken views of the fleet, each without one thing that an invariant rests on. For proving the checker only."""
+"""Broken views of the fleet, each without one property that an invariant needs. Used only to test the checker."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Mute(Fleet):
-    """(a) Tells nobody what is new, and never compares."""
+    """(a) Sends no updates and never compares digests."""
 
     def _compare(self, address: str, at_once: bool) -> list[Send]:
         return []
@@ -25,14 +25,14 @@
 
 
 class Deaf(Fleet):
-    """(b) Takes nobody's word that a process drains or is gone."""
+    """(b) Ignores reports that a process drains or is gone."""
 
     def _learn(self, received: Record):
         super()._learn(replace(received, claims={}))
 
 
 class Clinging(Fleet):
-    """(c) Holds on to a process in whose place another stands."""
+    """(c) Keeps a process that another one has replaced."""
 
     def _end_predecessors(self, process: Process, version: int):
         pass
@@ -45,14 +45,14 @@
 
 
 class Gullible(Fleet):
-    """(d) Believes everybody, whatever its own eyes see."""
+    """(d) Believes every report, whatever it observes itself."""
 
     def _record_result(self, witness: Witness, process: Process, matter: str, right: bool, why: str):
         pass
 
 
 class LyingSoon(Liar):
-    """A liar from its first roster on."""
+    """A liar that starts to lie with its first roster."""
 
     def roster(self, now: float, whole: bool, source: str, version: int, rows: Iterable[RosterRow]) -> None:
         super().roster(now, whole, source, version, rows)
--- a/sprucespool/standin/watching.py
+++ b/sprucespool/standin/watching.py
@@ -1,4 +1,4 @@
-"""Reads the view of the group out of running controllers, again and again, on their own doors: not through relays."""
+"""Periodically reads the views of running controllers, directly at their own addresses rather than through relays."""
 
 from __future__ import annotations
 
@@ -63,30 +63,30 @@
 
 
 class Watch:
-    """`noted` is the history for the judge; `newest` the last view of each process. `quiet`: not asked for a while."""
+    """`noted` is the history for the judge, `newest` the last view of each process, `quiet` the processes to skip."""
 
     def __init__(self, every: float = 250.0):
-        self.every = every
+        self.interval_ms = every
         self.loop = asyncio.get_running_loop()
         self.pools: dict[str, Pool] = {}
         self.newest: dict[str, seen.SeenView] = {}
         self.noted: list[seen.Happened] = []
         self.quiet: set[str] = set()
         self.timer: asyncio.TimerHandle | None = None
-        # The fleet's views, where they are kept: for their own judge, asked for with every second look.
+        # Views of the invokers, if the controllers keep them, for the judge of the fleet; read in every second round.
         self.fleets: list[fleet_seen.FleetView] = []
         self.newest_fleet: dict[str, fleet_seen.FleetView] = {}
-        self.watch_fleet, self.looks = False, 0
+        self.watch_fleet, self.rounds = False, 0
         self.watch_plans = False
         self.plans: list[failover_seen.PlanView] = []
         self.newest_plan: dict[str, failover_seen.PlanView] = {}
 
-    def note(self, one: seen.Happened) -> None:
-        self.noted.append(one)
+    def note(self, event: seen.Happened) -> None:
+        self.noted.append(event)
 
-    def add(self, name: str, where: str) -> None:
+    def add(self, name: str, address: str) -> None:
         self.drop(name)
-        host, _, port = where.rpartition(":")
+        host, _, port = address.rpartition(":")
         self.pools[name] = Pool(
             host,
             int(port),
@@ -103,60 +103,60 @@
             self.pools.pop(name).close()
 
     def start(self) -> None:
-        self.timer = self.loop.call_later(self.every / 1000.0, self.start)
-        self.looks += 1
+        self.timer = self.loop.call_later(self.interval_ms / 1000.0, self.start)
+        self.rounds += 1
         for name, pool in self.pools.items():
             if name not in self.quiet:
                 self._ask(name, pool, names.MEMBERSHIP_VIEW, self._seen)
-                if self.watch_fleet and self.looks % 2 == 0:
+                if self.watch_fleet and self.rounds % 2 == 0:
                     self._ask(name, pool, names.MEMBERSHIP_FLEET, self._seen_fleet)
                 if self.watch_plans:
                     self._ask(name, pool, names.MEMBERSHIP_ZONES, self._seen_plan)
 
-    def _ask(self, name: str, pool: Pool, path: str, tell: Callable[[float, str, bytes], None]):
-        asked = now_ms()
+    def _ask(self, name: str, pool: Pool, path: str, on_view: Callable[[float, str, bytes], None]):
+        asked_at = now_ms()
 
-        def heard(event: CallEvent):
+        def on_event(event: CallEvent):
             if isinstance(event, Message):
                 call.consumed(event.size)
                 if self.pools.get(name) is pool:
-                    tell(asked, name, event.data)
+                    on_view(asked_at, name, event.data)
 
-        call = pool.call(path, {}, 2_000.0, platform.ViewRequest().SerializeToString(), heard)
+        call = pool.call(path, {}, 2_000.0, platform.ViewRequest().SerializeToString(), on_event)
         self.loop.call_later(3.0, call.cancel)
 
-    def _seen(self, asked: float, name: str, data: bytes):
+    def _seen(self, asked_at: float, name: str, data: bytes):
         view = msgspec.json.decode(platform.ViewReply.FromString(data).view, type=_View)
         rows = [
             seen.SeenRow(line.name, line.start, line.state, line.incarnation, line.version)
             for line in (*view.members, *view.gone)
         ]
-        # As of the asking: what a slow machine delays must not make a view look younger than it is.
-        told = self.newest[name] = seen.SeenView(asked, name, view.start, view.digest, view.part, rows)
-        self.noted.append(told)
+        # The time of the request: a reply that a slow machine delays must not make the view look newer than it is.
+        view_seen = self.newest[name] = seen.SeenView(asked_at, name, view.start, view.digest, view.part, rows)
+        self.noted.append(view_seen)
 
-    def _seen_fleet(self, asked: float, name: str, data: bytes):
+    def _seen_fleet(self, asked_at: float, name: str, data: bytes):
         shown = msgspec.json.decode(platform.ViewReply.FromString(data).view, type=_Fleet)
-        told = self.newest_fleet[name] = fleet_seen.FleetView(
-            asked,
+        fleet_view = self.newest_fleet[name] = fleet_seen.FleetView(
+            asked_at,
             name,
             shown.digest,
             [(line.address, line.boot, line.status) for line in shown.invokers if line.current],
         )
-        self.fleets.append(told)
+        self.fleets.append(fleet_view)
 
-    def _seen_plan(self, asked: float, name: str, data: bytes):
+    def _seen_plan(self, asked_at: float, name: str, data: bytes):
         shown = msgspec.json.decode(platform.ViewReply.FromString(data).view, type=_Zones)
         plan = msgspec.json.encode([[line.free, line.bound, line.cap] for line in shown.zones] + [shown.why]).decode()
-        told = self.newest_plan[name] = failover_seen.PlanView(
-            asked,
+        plan_view = self.newest_plan[name] = failover_seen.PlanView(
+            asked_at,
             name,
             shown.start,
             shown.epoch,
             plan,
             {line.zone: line.cap for line in shown.zones if line.cap >= 0} if shown.epoch != failover_seen.NONE else {},
         )
-        self.plans.append(told)
+        self.plans.append(plan_view)
 
     def stop(self) -> None:
         if self.timer is not None:
--- a/tests/test_group_sockets.py
+++ b/tests/test_group_sockets.py
@@ -382,7 +382,7 @@
             'model-group "line" slo-time="600ms" route-timeout="2500ms"\ncontroller number=0 of=3\n'
         )
         alone = Process([sys.executable, "-m", "sprucespool.cli.main", "serve", str(path)], tmp_path / "alone.err")
-        rig.all.append(alone)
+        rig.all_processes.append(alone)
         address = (await alone.started()).removeprefix("listening on ")
         with pytest.raises(Unreachable, match="UNIMPLEMENTED"):
             await fetch(address)
