--- a/sprucespool/standin/__init__.py
+++ b/sprucespool/standin/__init__.py
@@ -1,2 +1,3 @@
-"""Stand-ins of outside systems as processes on loopback: invokers, roster, model library, clients, and the stage that
-plays a scripted day of trouble with them. They show what the program does; they are no measure of real invokers."""
+"""Stand-ins of outside systems as processes on loopback: invokers, roster, model library and clients, and the stage
+that plays a scripted day with them. They show how the program behaves; measurements of them do not apply to real
+invokers."""
