--- a/sprucespool/lab/world.py
+++ b/sprucespool/lab/world.py
@@ -32,12 +32,20 @@
 from sprucespool.membership import Group, GroupLimits
 from sprucespool.policy import Controller
 from sprucespool.settings.controller import ControllerPlan, Place as At, RosterSource, deployment
-from sprucespool.standin.clients import LISTEN_ON
-from sprucespool.standin.badlinks import BadLinks, parted
+from sprucespool.standin.clients import EXTRA_LISTEN_MS
+from sprucespool.standin.badlinks import BadLinks, partition_sides
 from sprucespool.standin.invoker import Fault
 from sprucespool.standin.schedule import Schedule, Slot, Step, schedule, worker_facts
 from sprucespool.standin.script import Day
-from sprucespool.standin.traffic import LEAST_WAIT, Asking, Plan, catalog, drawn, patience, repeated
+from sprucespool.standin.traffic import (
+    MIN_WAIT_MS,
+    RequestSource,
+    Plan,
+    catalog,
+    draw_troubles,
+    attempt_timeout,
+    should_retry,
+)
 from sprucespool.wire import outcomes
 
 # The one-way link between two processes on a machine (ms), and the delay until a lost segment is retransmitted.
@@ -144,7 +152,7 @@
         **kinds: Any,
     ):
         if day.drawn:
-            day.troubles = sorted([*day.troubles, *drawn(day, day.seed)], key=lambda trouble: trouble.at)
+            day.troubles = sorted([*day.troubles, *draw_troubles(day, day.seed)], key=lambda trouble: trouble.at)
         for trouble in day.troubles:
             if trouble.kind in UNSUPPORTED_TROUBLES:
                 raise ValueError(f"trouble {trouble.kind}: not supported in virtual time, which has no connections")
@@ -163,7 +171,7 @@
         self.fault_chance = random.Random(day.seed * 100)
         self.client_chance = random.Random(day.seed + 77)
         self.controller_order = itertools.count()
-        self.asking = Asking(day)
+        self.asking = RequestSource(day)
         self.library = Library(LibraryFacts(day.library.smooth, day.library.most))
         self.library_due = math.inf
         self.last_publish_at = 0.0
@@ -195,8 +203,8 @@
         for n, distance in enumerate(day.distances if day.group else []):
             self.links.put(
                 f"distance {n}",
-                day.named(distance.one),
-                day.named(distance.other),
+                day.processes_named(distance.one),
+                day.processes_named(distance.other),
                 LinkState(distance.latency, distance.jitter),
             )
         for slot in self.plan.slots:
@@ -370,8 +378,8 @@
     def _send_request(self, plan: Plan, nth: int, started_at: float, avoid: int):
         group = self.model_groups[plan.group]
         started_at = started_at or self.now
-        ttl = patience(plan, group, nth, started_at, self.now)
-        if ttl < LEAST_WAIT:
+        ttl = attempt_timeout(plan, group, nth, started_at, self.now)
+        if ttl < MIN_WAIT_MS:
             return self._schedule_next(plan)
         controller = next(self.controller_order) % self.controllers
         if controller == avoid:
@@ -379,7 +387,7 @@
         request = _Request(plan, f"{plan.root}.{nth}", nth, started_at, ttl, controller)
         self.note(seen.Sent(self.now, request.id, plan.root, controller, plan.group, ttl, plan.tenant, nth))
         self._later(LOCAL_LINK.delay, partial(self._request_arrives, request, self.now, self.now + ttl))
-        wait = ttl + LISTEN_ON if plan.leaves_part is None else ttl * plan.leaves_part
+        wait = ttl + EXTRA_LISTEN_MS if plan.leave_share is None else ttl * plan.leave_share
         self._later(wait, partial(self._client_gives_up, request))
 
     def _request_arrives(self, request: _Request, sent: float, until: float):
@@ -418,7 +426,7 @@
         if request.ended:
             return
         request.ended = True
-        self.note((seen.NoAnswer if request.plan.leaves_part is None else seen.LeftEarly)(self.now, request.id))
+        self.note((seen.NoAnswer if request.plan.leave_share is None else seen.LeftEarly)(self.now, request.id))
         member = self.members.get(f"c{request.controller}")
         if member is not None and self.frontends[member].requests.pop(request.id, None) is not None:
             self._later(LOCAL_LINK.delay, partial(self._queue_input, member, ms.Left(request.id)))
@@ -453,7 +461,7 @@
         self._retry(request, status, False, wait)
 
     def _retry(self, request: _Request, status: Status | None, never_ran: bool, wait: float):
-        if repeated(
+        if should_retry(
             request.plan, self.model_groups[request.plan.group], self.day.clients, request.nth, status, never_ran
         ):
             self._later(
@@ -949,7 +957,7 @@
 
     def _roster_old(self, step: Step):
         _, self.version, rows = max(
-            (snapshot for snapshot in self.roster_history if snapshot[0] <= self.now - step.figure),
+            (snapshot for snapshot in self.roster_history if snapshot[0] <= self.now - step.value),
             default=self.roster_history[0],
             key=lambda snapshot: snapshot[0],
         )
@@ -984,9 +992,9 @@
 
     def changed(self) -> None:
         """Records a change of links or stalled controllers for the judge, and breaks the connections concerned."""
-        sides, uneven = parted(self.links, (f"c{n}" for n in range(self.controllers)))
+        sides, uneven = partition_sides(self.links, (f"c{n}" for n in range(self.controllers)))
         self.noted.append(Faulted(self.now, sides, sorted(self.paused), uneven))
-        self.notes += self.bad_links.look(self.now, self.links, range(self.controllers), self.places)
+        self.notes += self.bad_links.update(self.now, self.links, range(self.controllers), self.places)
         self.links_changed()
 
     @property
@@ -1028,7 +1036,7 @@
     def act(world: DayWorld, step: Step):
         world._library_done(world.library.advance(world.now))
         for name, value in changes.items():
-            setattr(world.library, name, step.figure if value is None else value)
+            setattr(world.library, name, step.value if value is None else value)
         world._library_done([])
 
     return act
@@ -1042,7 +1050,7 @@
     "restart": lambda world, step: world.start(world.current_processes[step.target].box),
     "start-new": DayWorld._start_new,
     "roster-old": DayWorld._roster_old,
-    "roster-lag": lambda world, step: setattr(world, "extra", step.figure),
+    "roster-lag": lambda world, step: setattr(world, "extra", step.value),
     "roster-down": lambda world, step: world.roster_down(),
     "roster-up": lambda world, step: world.roster_down(False),
     "library-slow": _set_library(slowdown=None),
--- a/tests/test_lab_days.py
+++ b/tests/test_lab_days.py
@@ -32,7 +32,7 @@
 from sprucespool.standin.baselines import DECIDERS, GATEWAYS
 from sprucespool.standin.recorded import with_recorded
 from sprucespool.standin.script import Day, Recorded
-from sprucespool.standin.traffic import Asking, catalog
+from sprucespool.standin.traffic import RequestSource, catalog
 
 ROOT = Path(__file__).parent.parent
 
@@ -160,10 +160,10 @@
     links.put("far", ["c0"], ["i0"], LinkState(delay=15.0, jitter=3.0))
     links.put("cut", ["c1"], ["i0"], LinkState(cut="silent"), both=False)
     links.put("lossy", ["c0"], ["i1"], LinkState(loss=0.1))
-    assert watch.look(10.0, links, range(2), ["i0", "i1"]) == []
+    assert watch.update(10.0, links, range(2), ["i0", "i1"]) == []
     links.heal("cut")
-    assert watch.look(30.0, links, range(2), ["i0", "i1"]) == [seen.BadLink(10.0, 1, "i0", 30.0)]
-    assert watch.all_over(50.0) == [seen.BadLink(10.0, 0, "i1", 50.0)] and watch.all_over(60.0) == []
+    assert watch.update(30.0, links, range(2), ["i0", "i1"]) == [seen.BadLink(10.0, 1, "i0", 30.0)]
+    assert watch.close_all(50.0) == [seen.BadLink(10.0, 0, "i1", 50.0)] and watch.close_all(60.0) == []
 
 
 def arrivals(text, group="line"):
@@ -172,7 +172,7 @@
         'traffic "bill" rate=15.0 models=3 work="40ms"\n', ""
     )
     day = read(Day, script_text.replace("models=8", f"models=8 {text}") + 'name "shape"\nfleet\n', "day")
-    return [(plan.at, int(plan.model.rpartition("-")[2])) for plan in Asking(day).first() if plan.group == group]
+    return [(plan.at, int(plan.model.rpartition("-")[2])) for plan in RequestSource(day).first() if plan.group == group]
 
 
 def test_traffic_follows_the_waves_rushes_and_drifts_of_the_script():
@@ -429,9 +429,9 @@
     day = script('name "x"\ntraffic "line" users=1 think="30s"\ntrouble "scan" at="0s" lasts="7s" share=1.0\n')
     number = len(day.traffics) - 1
     models = {
-        Asking(day)._of_user(number, 0, count, 0.0).model
+        RequestSource(day)._of_user(number, 0, count, 0.0).model
         for count in range(60)
-        if Asking(day)._of_user(number, 0, count, 0.0) is not None
+        if RequestSource(day)._of_user(number, 0, count, 0.0) is not None
     }
     assert models == {"line-once-0"} and "line-once-0" in catalog(day)
 
@@ -480,7 +480,7 @@
     assert [ask.at for ask in whole.asks[:3]] == [0.0, 25.0, 50.0] and whole.asks[-1].at == 1_950.0
     day_result = play(whole)
     assert day_result.broken == [] and day_result.table.taken >= 60 and day_result.table.in_slo_time > 30
-    assert {one.model for one in Asking(whole).first()} == {"m0", "m1", "m2"}
+    assert {one.model for one in RequestSource(whole).first()} == {"m0", "m1", "m2"}
     out.write_text(out.read_text() + '{"group": "line", "at": 3, "model": 7}\n')
     with pytest.raises(ValueError, match=r"trace.jsonl:61: Expected `str`, got `int` - at `\$.model`"):
         with_recorded(day, tmp_path)
