--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -21,8 +21,8 @@
 from pathlib import Path
 
 from sprucespool.emulator.explore import explore
-from sprucespool.emulator.group import Virtual
-from sprucespool.emulator.models import GroupWorld, SharesWorld, of_kind
+from sprucespool.emulator.group import VirtualGroup
+from sprucespool.emulator.models import GroupWorld, SharesWorld, world_factory
 from sprucespool.faults import LinkState
 
 
@@ -39,7 +39,7 @@
 
 
 def measure(size: int, seed: int, lossy: float) -> dict:
-    virtual = Virtual(size, seed=seed)
+    virtual = VirtualGroup(size, seed=seed)
     found_after = virtual.run(60_000, virtual.alike)
     virtual.run(20_000)
     sent_before, started_at, at = virtual.said, time.process_time(), virtual.now
@@ -47,7 +47,7 @@
     duration_s = (virtual.now - at) / 1000
     steady = (virtual.said - sent_before) / size / duration_s
     cpu = (time.process_time() - started_at) / size / duration_s
-    with_metrics = Virtual(size, seed=seed, settled=True)
+    with_metrics = VirtualGroup(size, seed=seed, settled=True)
     with_metrics.load = lambda member: tuple(with_metrics.chance.uniform(1, 100) for _ in range(6))
     with_metrics.run(60_000)
     metrics_held = [
@@ -65,11 +65,11 @@
     split_after = virtual.run(120_000, lambda: all(virtual.alike(side) for side in sides), 500)
     virtual.links.heal("partition")
     merged_after = virtual.run(240_000, virtual.alike)
-    lossy_group = Virtual(size, seed=seed, loss=0.05, settled=True)
+    lossy_group = VirtualGroup(size, seed=seed, loss=0.05, settled=True)
     kinds: Counter[str] = Counter()
     lossy_group.watch = lambda member, event: kinds.update([event.kind])
     lossy_group.run(lossy)
-    deaf = Virtual(size, seed=seed, settled=True)
+    deaf = VirtualGroup(size, seed=seed, settled=True)
     deaf.run(3_000)
     change_counts: Counter[tuple[str, str]] = Counter()
     deaf.watch = lambda member, event: change_counts.update(
@@ -146,10 +146,10 @@
 
 def model() -> None:
     for name, make_world, depth in (
-        ("rules of merging and refuting, 3 members", of_kind(GroupWorld), 5),
-        ("the same, 4 members", of_kind(GroupWorld, members=4), 4),
-        ("shared parts, 2 numbers", of_kind(SharesWorld, of=2), 9),
-        ("shared parts, 3 numbers", of_kind(SharesWorld, of=3), 6),
+        ("rules of merging and refuting, 3 members", world_factory(GroupWorld), 5),
+        ("the same, 4 members", world_factory(GroupWorld, members=4), 4),
+        ("shared parts, 2 numbers", world_factory(SharesWorld, of=2), 9),
+        ("shared parts, 3 numbers", world_factory(SharesWorld, of=3), 6),
     ):
         started_at = time.process_time()
         result = explore(make_world, depth)
@@ -159,8 +159,8 @@
                     "model": name,
                     "depth": result.depth,
                     "states": result.states,
-                    "whole": result.whole,
-                    "wrong": result.wrong,
+                    "whole": result.complete,
+                    "wrong": result.violation,
                     "cpu": round(time.process_time() - started_at, 1),
                 }
             ),
@@ -177,7 +177,7 @@
             names = await rig.start_all(count, regions=1, zones=3)
             found_after = await rig.until(rig.alike)
             sides = [names[n::3] for n in range(3)]
-            rig.part(sides)
+            rig.partition(sides)
             split_after = await rig.until(lambda: all(rig.alike(side) for side in sides), 120)
             rig.heal()
             await asyncio.sleep(12)
--- a/sprucespool/lab/world.py
+++ b/sprucespool/lab/world.py
@@ -18,9 +18,9 @@
 
 from sprucespool import interface as it
 from sprucespool.emulator import worker as wk
-from sprucespool.emulator.fleet import Box, status_of
+from sprucespool.emulator.fleet import VirtualInvoker, status_of
 from sprucespool.emulator.library import Fetch, Library, LibraryFacts
-from sprucespool.emulator.plans import Habits, PlanWorld
+from sprucespool.emulator.plans import PlanWorld, WorldParameters
 from sprucespool.faults import LinkState
 from sprucespool.fleet import InvokerState, RosterRow, Suspicion
 from sprucespool.fleet.gateway_inputs import gateway_inputs
@@ -32,12 +32,20 @@
 from sprucespool.membership import Group, GroupLimits
 from sprucespool.policy import Controller
 from sprucespool.settings.controller import ControllerPlan, Place as At, RosterSource, deployment
-from sprucespool.standin.clients import LISTEN_ON
-from sprucespool.standin.badlinks import BadLinks, parted
+from sprucespool.standin.clients import EXTRA_LISTEN_MS
+from sprucespool.standin.badlinks import BadLinks, partition_sides
 from sprucespool.standin.invoker import Fault
 from sprucespool.standin.schedule import Schedule, Slot, Step, schedule, worker_facts
 from sprucespool.standin.script import Day
-from sprucespool.standin.traffic import LEAST_WAIT, Asking, Plan, catalog, drawn, patience, repeated
+from sprucespool.standin.traffic import (
+    MIN_WAIT_MS,
+    RequestSource,
+    Plan,
+    catalog,
+    draw_troubles,
+    attempt_timeout,
+    should_retry,
+)
 from sprucespool.wire import outcomes
 
 # The one-way link between two processes on a machine (ms), and the delay until a lost segment is retransmitted.
@@ -54,7 +62,7 @@
     """An invoker's process. A later process may have the same address."""
 
     slot: Slot
-    box: Box
+    box: VirtualInvoker
     boot: str
     worker: wk.Worker
     arrival_count: int = 0
@@ -144,7 +152,7 @@
         **kinds: Any,
     ):
         if day.drawn:
-            day.troubles = sorted([*day.troubles, *drawn(day, day.seed)], key=lambda trouble: trouble.at)
+            day.troubles = sorted([*day.troubles, *draw_troubles(day, day.seed)], key=lambda trouble: trouble.at)
         for trouble in day.troubles:
             if trouble.kind in UNSUPPORTED_TROUBLES:
                 raise ValueError(f"trouble {trouble.kind}: not supported in virtual time, which has no connections")
@@ -163,7 +171,7 @@
         self.fault_chance = random.Random(day.seed * 100)
         self.client_chance = random.Random(day.seed + 77)
         self.controller_order = itertools.count()
-        self.asking = Asking(day)
+        self.asking = RequestSource(day)
         self.library = Library(LibraryFacts(day.library.smooth, day.library.most))
         self.library_due = math.inf
         self.last_publish_at = 0.0
@@ -179,7 +187,7 @@
             "common" if failover is not None else "today",
             len(day.zones),
             1,
-            Habits(1, cold_share=fleet.cold_share, warm_after=fleet.warm_after),
+            WorldParameters(1, cold_share=fleet.cold_share, warm_after=fleet.warm_after),
             voters=tuple(failover.voters.split(",")) if failover is not None else (),
             replace_after=failover.replace_after if failover is not None else 30_000.0,
             lag=day.roster.lag,
@@ -195,12 +203,12 @@
         for n, distance in enumerate(day.distances if day.group else []):
             self.links.put(
                 f"distance {n}",
-                day.named(distance.one),
-                day.named(distance.other),
+                day.processes_named(distance.one),
+                day.processes_named(distance.other),
                 LinkState(distance.latency, distance.jitter),
             )
         for slot in self.plan.slots:
-            box = self.boxes[f"w{slot.number}"]
+            box = self.invokers[f"w{slot.number}"]
             box.born = -3.6e6
             self._start_process(slot, box, False)
             self.rows[box.address] = self._row(box)
@@ -265,8 +273,8 @@
             super()._tick(member)
             self._update_sharing(member)
 
-    def _heard(self, to: str, message: Any):
-        super()._heard(to, message)
+    def _receive(self, to: str, message: Any):
+        super()._receive(to, message)
         member = self.by_address.get(to)
         if member is not None:
             self._update_sharing(member)
@@ -296,13 +304,13 @@
     def _deliver_inputs(self, member: Group, frontend: _Frontend):
         if self.frontends.get(member) is not frontend:
             return
-        if member.name in self.still:
+        if member.name in self.paused:
             return self._later(10.0, partial(self._deliver_inputs, member, frontend))
         frontend.delivery_scheduled = False
         inputs, frontend.inputs = frontend.inputs, []
         frontend.gateway.take(self._time(member), inputs)
 
-    def _learned(self, member: Group, places: list[InvokerState], doubts: list[Suspicion]):
+    def _view_changed(self, member: Group, places: list[InvokerState], doubts: list[Suspicion]):
         if not self.views_kept:
             return
         for gateway_input in gateway_inputs(places, doubts, self.fleets[member].version, self._time(member)):
@@ -310,30 +318,30 @@
 
     # The roster
 
-    def _row(self, box: Box, gone: bool = False) -> RosterRow:
+    def _row(self, box: VirtualInvoker, gone: bool = False) -> RosterRow:
         row = super()._row(box, gone)
         slot = self.plan.slots[int(box.name[1:])]
         return RosterRow(
             row.process, row.listed, gone, box.zone, slot.machines.kind, slot.cell, float(slot.machines.cores), row.age
         )
 
-    def publish(self, box: Box, gone: bool = False) -> None:
+    def publish(self, box: VirtualInvoker, gone: bool = False) -> None:
         row = self._row(box, gone)
         due = self.now + self.lag * self.chance.uniform(0.7, 1.3) + self.extra
         # Changes are published in order, so that an update still on its way does not list a removed process again.
         self.last_publish_at = due = max(due, self.last_publish_at + 0.01)
         self._later(due - self.now, lambda: self._published(box, row))
 
-    def _published(self, box: Box, row: RosterRow):
+    def _published(self, box: VirtualInvoker, row: RosterRow):
         super()._published(box, row)
         self.roster_history.append((self.now, self.version, dict(self.rows)))
 
-    def _tell(self, member: Group, whole: bool, version: int, rows: list[RosterRow], source: str = "roster"):
+    def _report_roster(self, member: Group, whole: bool, version: int, rows: list[RosterRow], source: str = "roster"):
         frontend = self.frontends.get(member)
         if frontend is None or not self._reaches(member):
             return
-        if member.name in self.still:
-            return self._later(50.0, lambda: self._tell(member, whole, version, rows, source))
+        if member.name in self.paused:
+            return self._later(50.0, lambda: self._report_roster(member, whole, version, rows, source))
         number = member.about.number
         for row in rows:
             self.note(seen.Told(self.now, number, *row.process, status_of(row)))
@@ -342,17 +350,17 @@
                 self.note(seen.Told(self.now, number, address, "", "gone"))
         frontend.ever_listed |= {row.process[0] for row in rows}
         if self.views_kept:
-            return super()._tell(member, whole, version, rows, source)
+            return super()._report_roster(member, whole, version, rows, source)
         roster_rows = [
             ms.Row(row.process[0], row.zone, row.kind, row.cell, status_of(row), row.size, row.process[1], row.age)
             for row in rows
         ]
         self._queue_input(member, ms.Roster((it.News.REPLACE if whole else it.News.UPDATE).value, version, roster_rows))
 
-    def _break(self, member: Group):
-        was_connected = member in self.minds and self.minds[member].connected
-        super()._break(member)
-        if was_connected and not self.minds[member].connected and not self.views_kept:
+    def _check_roster_link(self, member: Group):
+        was_connected = member in self.routings and self.routings[member].connected
+        super()._check_roster_link(member)
+        if was_connected and not self.routings[member].connected and not self.views_kept:
             self._queue_input(member, ms.Roster(it.News.UNAVAILABLE.value))
 
     # Clients
@@ -370,8 +378,8 @@
     def _send_request(self, plan: Plan, nth: int, started_at: float, avoid: int):
         group = self.model_groups[plan.group]
         started_at = started_at or self.now
-        ttl = patience(plan, group, nth, started_at, self.now)
-        if ttl < LEAST_WAIT:
+        ttl = attempt_timeout(plan, group, nth, started_at, self.now)
+        if ttl < MIN_WAIT_MS:
             return self._schedule_next(plan)
         controller = next(self.controller_order) % self.controllers
         if controller == avoid:
@@ -379,7 +387,7 @@
         request = _Request(plan, f"{plan.root}.{nth}", nth, started_at, ttl, controller)
         self.note(seen.Sent(self.now, request.id, plan.root, controller, plan.group, ttl, plan.tenant, nth))
         self._later(LOCAL_LINK.delay, partial(self._request_arrives, request, self.now, self.now + ttl))
-        wait = ttl + LISTEN_ON if plan.leaves_part is None else ttl * plan.leaves_part
+        wait = ttl + EXTRA_LISTEN_MS if plan.leave_share is None else ttl * plan.leave_share
         self._later(wait, partial(self._client_gives_up, request))
 
     def _request_arrives(self, request: _Request, sent: float, until: float):
@@ -390,7 +398,7 @@
             return self._unreached(request, False)
         frontend, plan = self.frontends[member], request.plan
         frontend.requests[request.id] = request
-        if member.name in self.still:
+        if member.name in self.paused:
             # The request waits in the socket of a stalled controller.
             return self._later(10.0, partial(self._request_arrives, request, sent, until))
         call = ms.Call(
@@ -407,7 +415,7 @@
             waited=max(0.0, self.now - sent - LOCAL_LINK.delay),
         )
         if self.day.failover is not None:
-            parts, group = self.parts[member], self.model_groups[plan.group]
+            parts, group = self.failover_states[member], self.model_groups[plan.group]
             now, bound = self._time(member), bool(group.stay) or plan.tenant in self.bound_tenants
             if not call.repeat:
                 parts.meter.arrived(now, call.group, bound, call.work or group.slo_time / 4)
@@ -418,7 +426,7 @@
         if request.ended:
             return
         request.ended = True
-        self.note((seen.NoAnswer if request.plan.leaves_part is None else seen.LeftEarly)(self.now, request.id))
+        self.note((seen.NoAnswer if request.plan.leave_share is None else seen.LeftEarly)(self.now, request.id))
         member = self.members.get(f"c{request.controller}")
         if member is not None and self.frontends[member].requests.pop(request.id, None) is not None:
             self._later(LOCAL_LINK.delay, partial(self._queue_input, member, ms.Left(request.id)))
@@ -453,7 +461,7 @@
         self._retry(request, status, False, wait)
 
     def _retry(self, request: _Request, status: Status | None, never_ran: bool, wait: float):
-        if repeated(
+        if should_retry(
             request.plan, self.model_groups[request.plan.group], self.day.clients, request.nth, status, never_ran
         ):
             self._later(
@@ -541,7 +549,7 @@
             )
         )
         if self._active_fault(process, "refuse"):
-            process.worker._weigh(self.now, job.work)
+            process.worker._record_sent_work(self.now, job.work)
             self._end_at_invoker(process, job, "refused", "full")
         else:
             process.worker.arrive(self.now, job)
@@ -561,7 +569,7 @@
         pending = frontend.pending_forwards.get(number) if frontend is not None else None
         if frontend is None or pending is None:
             return
-        if member.name in self.still:
+        if member.name in self.paused:
             return self._later(10.0, lambda: self._forward_ends(member, number, outcome, process, job, **report))
         found = job.found.replace("-", " ") if job is not None and outcome in ("returned", "full") else "untold"
         reports = process is not None and job is not None and self.day.invokers.tells
@@ -590,9 +598,9 @@
         now = self._time(member)
         if self.views_kept:
             self.fleets[member].ended(now, number, outcome, boot, draining, age)
-            self._fleet_do(member, [])
+            self._carry_out(member, [])
         if self.day.failover is not None and pending.zone and outcome not in ("called off", "not sent"):
-            parts = self.parts[member]
+            parts = self.failover_states[member]
             parts.steer.ended(now, pending.zone, outcome in ("returned", "full", "miss", "error"))
             parts.meter.ended(
                 now,
@@ -668,7 +676,7 @@
             )
             if self._active_fault(process, "hang") is None:
                 process.worker.order(
-                    self.now, wk.Ask(_Order(member, effect.order), effect.model, min(16, effect.copies))
+                    self.now, wk.LoadOrder(_Order(member, effect.order), effect.model, min(16, effect.copies))
                 )
                 self._apply_acts(process)
 
@@ -692,7 +700,7 @@
 
     # Invokers
 
-    def _start_process(self, slot: Slot, box: Box, cold: bool) -> _Process:
+    def _start_process(self, slot: Slot, box: VirtualInvoker, cold: bool) -> _Process:
         machines = slot.machines
         worker = wk.Worker(worker_facts(self.day, machines), self.catalog, self.now, cold=cold)
         process = _Process(slot, box, box.boot, worker)
@@ -707,11 +715,11 @@
                 self._later(0.0, partial(self._apply_fault, slot.number, fault))
         return process
 
-    def start(self, box: Box) -> None:
+    def start(self, box: VirtualInvoker) -> None:
         super().start(box)
         self._start_process(self.plan.slots[int(box.name[1:])], box, True)
 
-    def down(self, box: Box) -> None:
+    def down(self, box: VirtualInvoker) -> None:
         box.up = False
         process = self.processes[box.address]
         if not process.up:
@@ -723,7 +731,7 @@
                 box.name, arrived.member.name, partial(self._forward_ends, arrived.member, arrived.forward, "reset")
             )
         process.forwards.clear()
-        for ask in process.worker.asks:
+        for ask in process.worker.orders:
             order = ask.tag
             assert isinstance(order, _Order)
             self._queue_input(order.member, ms.OrderEnded(order.number, "reset"))
@@ -744,10 +752,10 @@
         if self.now >= ends and fault.kind != "flush" or not process.up:
             return
         if fault.kind == "crawl":
-            worker.crawl = fault.factor
-            self._later(ends - self.now, lambda: setattr(worker, "crawl", 1.0))
+            worker.slowdown = fault.factor
+            self._later(ends - self.now, lambda: setattr(worker, "slowdown", 1.0))
         elif fault.kind == "pauses":
-            worker.stand_still(self.now, fault.span)
+            worker.pause(self.now, fault.span)
             self._later(fault.every, partial(self._apply_fault, number, fault))
         elif fault.kind == "flush":
             hash_limit = fault.share * 2**32
@@ -764,12 +772,12 @@
     def _apply_acts(self, process: _Process):
         """Carries out the actions of the worker's last step and schedules its next check."""
         worker = process.worker
-        while worker.acts and process.up:
-            acts, worker.acts = worker.acts, []
+        while worker.actions and process.up:
+            acts, worker.actions = worker.actions, []
             for act in acts:
                 ACTS[type(act)](self, process, act)
         due = worker.next_due()
-        if due < process.next_check_at and process.up and not worker.fallen:
+        if due < process.next_check_at and process.up and not worker.overloaded:
             process.next_check_at = due
             self._later(max(0.0, due - self.now), partial(self._check_worker, process, due))
         if worker.draining and worker.idle and not process.forwards and process.up:
@@ -779,7 +787,7 @@
         # Otherwise an earlier check has run since and scheduled another one.
         if process.up and process.next_check_at == due:
             process.next_check_at = math.inf
-            process.worker.look(self.now)
+            process.worker.advance(self.now)
             self._apply_acts(process)
 
     def _end_at_invoker(self, process: _Process, job: wk.Job, how: str, outcome: str, **report: Any) -> None:
@@ -829,14 +837,14 @@
         )
 
     def _order_settled(self, process: _Process, act: wk.Settled):
-        order = act.ask.tag
+        order = act.order.tag
         assert isinstance(order, _Order)
         order_ended = ms.OrderEnded(
-            order.number, "returned" if act.stands else "full", act.standing if self.day.invokers.tells else 0
+            order.number, "returned" if act.fulfilled else "full", act.loaded_copies if self.day.invokers.tells else 0
         )
         self._transmit(process.box.name, order.member.name, lambda: self._queue_input(order.member, order_ended))
 
-    def _fall_over(self, process: _Process, act: wk.Fell):
+    def _fall_over(self, process: _Process, act: wk.Overloaded):
         self.note(seen.PushedOver(self.now, process.box.address, process.boot, act.sent, act.allowed))
         self.down(process.box)
 
@@ -912,9 +920,9 @@
     def _start_new(self, step: Step):
         """Starts a cold process at an address of its own."""
         slot = self.plan.slots[step.target]
-        count = sum(box.name == f"i{slot.number}" for box in self.boxes.values())
-        box = Box(f"i{slot.number}", f"w{slot.number}+{count}", slot.zone, "", self.now, up=False)
-        self.boxes[box.address] = box
+        count = sum(box.name == f"i{slot.number}" for box in self.invokers.values())
+        box = VirtualInvoker(f"i{slot.number}", f"w{slot.number}+{count}", slot.zone, "", self.now, up=False)
+        self.invokers[box.address] = box
         self.start(box)
 
     def _kill_step(self, step: Step):
@@ -927,12 +935,12 @@
         name = f"c{step.target}"
         if name not in self.members:
             return
-        self.hold({name}, True)
+        self.pause_controllers({name}, True)
         self.changed()
         began = self.now
 
         def resume():
-            self.hold({name}, False)
+            self.pause_controllers({name}, False)
             self.note(seen.Stalled(began, step.target, self.now))
             self.changed()
 
@@ -949,7 +957,7 @@
 
     def _roster_old(self, step: Step):
         _, self.version, rows = max(
-            (snapshot for snapshot in self.roster_history if snapshot[0] <= self.now - step.figure),
+            (snapshot for snapshot in self.roster_history if snapshot[0] <= self.now - step.value),
             default=self.roster_history[0],
             key=lambda snapshot: snapshot[0],
         )
@@ -963,7 +971,7 @@
         until = self.now + 15_000.0
 
         def ask():
-            for member, parts in self.parts.items():
+            for member, parts in self.failover_states.items():
                 if parts.failover.council.leads(self._time(member)):
                     if not parts.failover.drain(step.name, step.what == "drain-zone", False):
                         return
@@ -984,17 +992,17 @@
 
     def changed(self) -> None:
         """Records a change of links or stalled controllers for the judge, and breaks the connections concerned."""
-        sides, uneven = parted(self.links, (f"c{n}" for n in range(self.controllers)))
-        self.noted.append(Faulted(self.now, sides, sorted(self.still), uneven))
-        self.notes += self.bad_links.look(self.now, self.links, range(self.controllers), self.places)
+        sides, uneven = partition_sides(self.links, (f"c{n}" for n in range(self.controllers)))
+        self.noted.append(Faulted(self.now, sides, sorted(self.paused), uneven))
+        self.notes += self.bad_links.update(self.now, self.links, range(self.controllers), self.places)
         self.links_changed()
 
     @property
     def places(self) -> list[str]:
         return [f"i{slot.number}" for slot in self.plan.slots]
 
-    def look(self) -> None:
-        super().look()
+    def observe(self) -> None:
+        super().observe()
         self.note_members()
         if self.views_kept:
             self.note_views()
@@ -1019,7 +1027,7 @@
     wk.Refused: DayWorld._refuse,
     wk.Missed: DayWorld._miss,
     wk.Settled: DayWorld._order_settled,
-    wk.Fell: DayWorld._fall_over,
+    wk.Overloaded: DayWorld._fall_over,
     wk.FetchWanted: DayWorld._start_fetch,
 }
 
@@ -1028,7 +1036,7 @@
     def act(world: DayWorld, step: Step):
         world._library_done(world.library.advance(world.now))
         for name, value in changes.items():
-            setattr(world.library, name, step.figure if value is None else value)
+            setattr(world.library, name, step.value if value is None else value)
         world._library_done([])
 
     return act
@@ -1042,10 +1050,10 @@
     "restart": lambda world, step: world.start(world.current_processes[step.target].box),
     "start-new": DayWorld._start_new,
     "roster-old": DayWorld._roster_old,
-    "roster-lag": lambda world, step: setattr(world, "extra", step.figure),
+    "roster-lag": lambda world, step: setattr(world, "extra", step.value),
     "roster-down": lambda world, step: world.roster_down(),
     "roster-up": lambda world, step: world.roster_down(False),
-    "library-slow": _set_library(slow=None),
+    "library-slow": _set_library(slowdown=None),
     "library-down": _set_library(down=True),
     "library-up": _set_library(down=False),
     "stall": DayWorld._stall,
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -307,10 +307,10 @@
     assert one.learn(9_000.0, Renewal(plans[2], 2, 500.0)) and one.in_force(16_400.0) and not one.in_force(16_600.0)
 
 
-@pytest.mark.parametrize("more", [{}, {"asks": False, "spares": 1, "reseats": 1, "proposals": 0, "words": 10}])
+@pytest.mark.parametrize("more", [{}, {"asks": False, "spares": 1, "reseats": 1, "proposals": 0, "max_messages": 10}])
 def test_in_every_order_of_messages_crashes_and_timeouts_a_term_has_one_leader_and_an_epoch_one_plan(more):
     found = explore(lambda: CouncilWorld(3, **more), 5)
-    assert found.whole and found.states > 3_000 and found.wrong == "", found
+    assert found.complete and found.states > 3_000 and found.violation == "", found
 
 
 PICKS = st.lists(st.integers(0, 10_000), max_size=45)
@@ -319,11 +319,11 @@
 @settings(max_examples=250, deadline=None, derandomize=True, database=None)
 @given(st.sampled_from([3, 5]), st.sampled_from([0, 2]), PICKS)
 def test_long_random_walks_through_elections_keep_the_invariants(voters, spares, picks):
-    world = CouncilWorld(voters, words=60, spares=spares, reseats=spares * 3)
+    world = CouncilWorld(voters, max_messages=60, spares=spares, reseats=spares * 3)
     for pick in picks:
         moves = list(world.moves())
         world.play(moves[pick % len(moves)])
-        assert world.wrong() == ""
+        assert world.violation() == ""
 
 
 class VotesTwice(Council):
@@ -376,7 +376,7 @@
         return CouncilWorld(3, kind, 12, keeps, False, crashes, proposals)
 
     found = explore(world, depth, 400_000)
-    assert found.wrong and len(found.way) <= depth, found
+    assert found.violation and len(found.path) <= depth, found
 
 
 # Changes of the voters
@@ -414,11 +414,13 @@
 def deliver_among(world, *names):
     """Delivers all messages between these controllers until none is left."""
     while True:
-        index = next((n for n, (to, message) in enumerate(world.air) if to in names and message.sender in names), None)
+        index = next(
+            (n for n, (to, message) in enumerate(world.in_transit) if to in names and message.sender in names), None
+        )
         if index is None:
             return
         world.play(("hear", index))
-        world.air.pop(index)
+        world.in_transit.pop(index)
 
 
 def two_changes_at_once(world):
@@ -461,9 +463,9 @@
     deliver_among(world, "v0", "w0")
     world.play(("stand", "v1"))
     # v3 gives its vote and receives nothing more.
-    vote = next(n for n, (to, message) in enumerate(world.air) if to == "v3" and message.sender == "v1")
+    vote = next(n for n, (to, message) in enumerate(world.in_transit) if to == "v3" and message.sender == "v1")
     world.play(("hear", vote))
-    voted = next(n for n, (to, message) in enumerate(world.air) if to == "v1" and message.sender == "v3")
+    voted = next(n for n, (to, message) in enumerate(world.in_transit) if to == "v1" and message.sender == "v3")
     world.play(("hear", voted))
     deliver_among(world, "v1", "v2")
     world.play(("reseat", "v1", "w1"))
@@ -485,9 +487,9 @@
 @pytest.mark.parametrize(("kind", "script", "voters"), VOTER_CHANGE_SCRIPTS)
 def test_a_defect_in_changing_voters_makes_two_leaders_of_a_term_and_the_sound_build_does_not(kind, script, voters):
     for build in (Council, kind):
-        world = CouncilWorld(voters, build, words=200, spares=2, reseats=9, crashes=0)
+        world = CouncilWorld(voters, build, max_messages=200, spares=2, reseats=9, crashes=0)
         script(world)
-        assert ("lead in term" in world.wrong()) is (build is kind), (build, world.wrong())
+        assert ("lead in term" in world.violation()) is (build is kind), (build, world.violation())
 
 
 def test_a_removed_voter_learns_of_it_from_a_renewal_and_has_no_timers_left():
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -471,7 +471,7 @@
 
 
 def test_300_controllers_without_a_roster_converge_again():
-    found = play("roster-dark", 300, 12, rate=0.3, bounds=BOUNDS, look=2_000.0)
+    found = play("roster-dark", 300, 12, rate=0.3, bounds=BOUNDS, observe_interval=2_000.0)
     assert found.broken == [] and found.alike is not None and found.alike < 10_000.0
 
 
--- a/tests/test_lab_days.py
+++ b/tests/test_lab_days.py
@@ -15,7 +15,7 @@
 from test_days import DAYS, HEAD, SOUND, USERS
 from world import deployment, group
 
-from sprucespool.emulator.group import StandsStill
+from sprucespool.emulator.group import TimeStalled
 from sprucespool.gateway import Gateway
 from sprucespool.gateway import messages as ms
 from sprucespool.gateway.record import Recorder
@@ -32,7 +32,7 @@
 from sprucespool.standin.baselines import DECIDERS, GATEWAYS
 from sprucespool.standin.recorded import with_recorded
 from sprucespool.standin.script import Day, Recorded
-from sprucespool.standin.traffic import Asking, catalog
+from sprucespool.standin.traffic import RequestSource, catalog
 
 ROOT = Path(__file__).parent.parent
 
@@ -76,13 +76,13 @@
 
 def test_a_world_whose_time_does_not_advance_raises_stands_still(monkeypatch):
     world = start_day(script(SOUND))
-    monkeypatch.setattr("sprucespool.emulator.group.MOST_AT_ONCE", 5_000)
+    monkeypatch.setattr("sprucespool.emulator.group.MAX_EVENTS_AT_ONE_INSTANT", 5_000)
 
     def again_and_again():
         world._later(0.0, again_and_again)
 
     world._later(1_000.0, again_and_again)
-    with pytest.raises(StandsStill, match="at 1000.000 ms: .*again_and_again"):
+    with pytest.raises(TimeStalled, match="at 1000.000 ms: .*again_and_again"):
         world.run(7_000.0)
 
 
@@ -160,10 +160,10 @@
     links.put("far", ["c0"], ["i0"], LinkState(delay=15.0, jitter=3.0))
     links.put("cut", ["c1"], ["i0"], LinkState(cut="silent"), both=False)
     links.put("lossy", ["c0"], ["i1"], LinkState(loss=0.1))
-    assert watch.look(10.0, links, range(2), ["i0", "i1"]) == []
+    assert watch.update(10.0, links, range(2), ["i0", "i1"]) == []
     links.heal("cut")
-    assert watch.look(30.0, links, range(2), ["i0", "i1"]) == [seen.BadLink(10.0, 1, "i0", 30.0)]
-    assert watch.all_over(50.0) == [seen.BadLink(10.0, 0, "i1", 50.0)] and watch.all_over(60.0) == []
+    assert watch.update(30.0, links, range(2), ["i0", "i1"]) == [seen.BadLink(10.0, 1, "i0", 30.0)]
+    assert watch.close_all(50.0) == [seen.BadLink(10.0, 0, "i1", 50.0)] and watch.close_all(60.0) == []
 
 
 def arrivals(text, group="line"):
@@ -172,7 +172,7 @@
         'traffic "bill" rate=15.0 models=3 work="40ms"\n', ""
     )
     day = read(Day, script_text.replace("models=8", f"models=8 {text}") + 'name "shape"\nfleet\n', "day")
-    return [(plan.at, int(plan.model.rpartition("-")[2])) for plan in Asking(day).first() if plan.group == group]
+    return [(plan.at, int(plan.model.rpartition("-")[2])) for plan in RequestSource(day).first() if plan.group == group]
 
 
 def test_traffic_follows_the_waves_rushes_and_drifts_of_the_script():
@@ -378,7 +378,7 @@
         )
     )
     world.run(6_000.0)
-    trusts = [world.parts[world.members[name]].gauge.trust for name in ("c0", "c1", "c2")]
+    trusts = [world.failover_states[world.members[name]].gauge.trust for name in ("c0", "c1", "c2")]
     misses = sum(isinstance(one, seen.Went) and one.how == "missed" for one in world.notes)
     assert misses > 500 and all(trust >= 0.9 for zone_trust in trusts for trust in zone_trust.values())
 
@@ -429,9 +429,9 @@
     day = script('name "x"\ntraffic "line" users=1 think="30s"\ntrouble "scan" at="0s" lasts="7s" share=1.0\n')
     number = len(day.traffics) - 1
     models = {
-        Asking(day)._of_user(number, 0, count, 0.0).model
+        RequestSource(day)._of_user(number, 0, count, 0.0).model
         for count in range(60)
-        if Asking(day)._of_user(number, 0, count, 0.0) is not None
+        if RequestSource(day)._of_user(number, 0, count, 0.0) is not None
     }
     assert models == {"line-once-0"} and "line-once-0" in catalog(day)
 
@@ -480,7 +480,7 @@
     assert [ask.at for ask in whole.asks[:3]] == [0.0, 25.0, 50.0] and whole.asks[-1].at == 1_950.0
     day_result = play(whole)
     assert day_result.broken == [] and day_result.table.taken >= 60 and day_result.table.in_slo_time > 30
-    assert {one.model for one in Asking(whole).first()} == {"m0", "m1", "m2"}
+    assert {one.model for one in RequestSource(whole).first()} == {"m0", "m1", "m2"}
     out.write_text(out.read_text() + '{"group": "line", "at": 3, "model": 7}\n')
     with pytest.raises(ValueError, match=r"trace.jsonl:61: Expected `str`, got `int` - at `\$.model`"):
         with_recorded(day, tmp_path)
