--- a/sprucespool/cli/lab.py
+++ b/sprucespool/cli/lab.py
@@ -96,7 +96,7 @@
     save: Path | None,
     at: float,
 ) -> int:
-    """Returns the exit status. Raises ValueError for a day that cannot be played this way, TimeStalled and OSError."""
+    """Returns the exit status. Raises ValueError for a day that cannot be played this way, StandsStill and OSError."""
     if sockets and (controllers or invokers):
         raise ValueError("--sockets: cannot be combined with --controllers or --invokers")
     socket_result = _over_sockets(day, decider) if sockets else None
--- a/sprucespool/cli/main.py
+++ b/sprucespool/cli/main.py
@@ -460,7 +460,7 @@
 ) -> None:
     """Play a day's script in virtual time with the production objects; status 1 if a rule or invariant was broken."""
     from sprucespool.cli.lab import run_day
-    from sprucespool.emulator.group import TimeStalled
+    from sprucespool.emulator.group import StandsStill
 
     script_day = _read_day(script)
     _decider(decider)
@@ -470,7 +470,7 @@
         raise typer.Exit(
             run_day(script_day, controllers, invokers, decider, json, sockets, save, quantity(at, DURATIONS, "15s"))
         )
-    except (ValueError, TimeStalled) as error:
+    except (ValueError, StandsStill) as error:
         raise _refuse(f"{script}: {error}") from None
     except OSError as error:
         raise _refuse(f"{error.filename or save}: {error.strerror or error}") from None
@@ -482,11 +482,11 @@
 ) -> None:
     """Play a saved world to the end of its day."""
     from sprucespool.cli.lab import run_go_on
-    from sprucespool.emulator.group import TimeStalled
+    from sprucespool.emulator.group import StandsStill
 
     try:
         raise typer.Exit(run_go_on(saved, json))
-    except (ValueError, TimeStalled) as error:
+    except (ValueError, StandsStill) as error:
         raise _refuse(f"{saved}: {error}") from None
     except OSError as error:
         raise _refuse(f"{saved}: {error.strerror or error}") from None
--- a/sprucespool/emulator/group.py
+++ b/sprucespool/emulator/group.py
@@ -20,14 +20,12 @@
 MAX_EVENTS_AT_ONE_INSTANT = 1_000_000
 
 
-class TimeStalled(RuntimeError):
+class StandsStill(RuntimeError):
     """Virtual time does not advance: an action is due again and again at one instant."""
 
     def __init__(self, now: float, action: Callable[[], None]):
         inner = getattr(action, "func", action)
-        super().__init__(
-            f"virtual time stopped at {now:.3f} ms: {getattr(inner, '__qualname__', inner)} is due again and again"
-        )
+        super().__init__(f"time stands still at {now:.3f} ms: {getattr(inner, '__qualname__', inner)} comes up again")
 
 
 class VirtualGroup:
@@ -212,14 +210,14 @@
     ) -> float | None:
         """Advances time by `duration` ms. Stops once `until` holds and returns after how many ms; else returns None.
 
-        Raises TimeStalled."""
+        Raises StandsStill."""
         begun, end, checked_at, events_now = self.now, self.now + duration, self.now, 0
         while self.heap and self.heap[0][0] <= end:
             at, _, action = heapq.heappop(self.heap)
             events_now = events_now + 1 if at == self.now else 0
             self.now = at
             if events_now > MAX_EVENTS_AT_ONE_INSTANT:
-                raise TimeStalled(self.now, action)
+                raise StandsStill(self.now, action)
             action()
             if until is not None and self.now - checked_at >= every:
                 checked_at = self.now
--- a/sprucespool/lab/days.py
+++ b/sprucespool/lab/days.py
@@ -95,7 +95,7 @@
 
 
 def finish_day(world: DayWorld) -> DayResult:
-    """Runs the world from its current time to the end of the day and judges it. Raises TimeStalled."""
+    """Runs the world from its current time to the end of the day and judges it. Raises StandsStill."""
     world.run(world.day.lasts + SETTLE_MS - world.now)
     world.notes += world.bad_links.all_over(world.now)
     return _judge_day(world)
--- a/tests/test_lab_days.py
+++ b/tests/test_lab_days.py
@@ -15,7 +15,7 @@
 from test_days import DAYS, HEAD, SOUND, USERS
 from world import deployment, group
 
-from sprucespool.emulator.group import TimeStalled
+from sprucespool.emulator.group import StandsStill
 from sprucespool.gateway import Gateway
 from sprucespool.gateway import messages as ms
 from sprucespool.gateway.record import Recorder
@@ -82,7 +82,7 @@
         world._later(0.0, again_and_again)
 
     world._later(1_000.0, again_and_again)
-    with pytest.raises(TimeStalled, match="at 1000.000 ms: .*again_and_again"):
+    with pytest.raises(StandsStill, match="at 1000.000 ms: .*again_and_again"):
         world.run(7_000.0)
 
 
