--- a/sprucespool/node/clients.py
+++ b/sprucespool/node/clients.py
@@ -185,7 +185,7 @@
         victim = next((one for one in self.open if not one.link.frames), None)
         victim = victim or next((one for one in self.open if not one.calls), None) or next(iter(self.open))
         victim.wire.linger = 0.0
-        victim.close_with_error("too many connections")
+        victim.close_with_error("no room for so many connections")
 
     def connection_lost(self, connection: ClientConnection, why: str) -> None:
         self.open.pop(connection, None)
--- a/sprucespool/node/gateway_server.py
+++ b/sprucespool/node/gateway_server.py
@@ -174,7 +174,7 @@
         now = self.batch.now()
         if self.held_bytes + len(request.body) > self.max_held_bytes:
             self.turned_away += 1
-            self.log.info("turned away", why="too many request bytes held", held=self.held_bytes)
+            self.log.info("turned away", why="too much is held here", held=self.held_bytes)
             connection.link.shed(request.stream, 0.0)
             connection.answered(request.stream)
             return True
