--- a/sprucespool/emulator/cases.py
+++ b/sprucespool/emulator/cases.py
@@ -153,7 +153,7 @@
 
 
 def all_restart(world: FleetWorld) -> None:
-    """All controllers restart while the roster is down: they have their snapshots and what the group still knows."""
+    """All controllers restart while the roster is down, with what the group still knows; one in four has a snapshot."""
     world.roster_down()
     world.run(1_000)
     for name in sorted(world.members):
